--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -80,7 +80,7 @@
                 self.owners, self.directory.state.layout, question
             ),
             async_answer_store=self.relay.async_answer,
-            on_heard=lambda: self.isolation.take_heard(),
+            on_heard=lambda: self.isolation.record_contact(),
         )
         partitions = settings.store.partitions
         self.layouts = LayoutReader(
@@ -93,13 +93,13 @@
             store=self.store,
             address=self.links.address,
             incarnation=uuid.uuid4().hex[:12],
-            room=settings.limits.room(),
+            capacity=settings.limits.room(),
             on_change=self._async_change,
         )
         self.reserve = ReserveWatch(
             member=self.member,
             holders=self.holders,
-            room=settings.limits.room(),
+            capacity=settings.limits.room(),
             partitions=partitions,
         )
         self.isolation = IsolationWatch(
--- a/heatherkeel/ownership/__init__.py
+++ b/heatherkeel/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Which process owns which partition, by the platform's word."""
+"""Ownership of partitions, as assigned by the platform's group membership."""
--- a/heatherkeel/ownership/const.py
+++ b/heatherkeel/ownership/const.py
@@ -1,4 +1,4 @@
-"""Times and names of ownership."""
+"""Intervals, limits and names used by partition ownership."""
 
 from __future__ import annotations
 
@@ -6,57 +6,58 @@
 
 GROUP: Final = "heatherkeel-owners"
 WORK_TOPIC: Final = "keyed.work"
-"""Progress and ends of jobs; only a partition's owner writes there, under its token."""
+"""Progress and ends of jobs; only a partition's owner writes there, with its fencing token."""
 JOBS_TOPIC: Final = "keyed.jobs"
-"""Jobs and cancels as callers sent them; every front writes there."""
+"""Jobs and cancellations as submitted by callers; every entry instance writes there."""
 PRODUCER: Final = "owner"
 LAYOUT_KEY: Final = "layout"
-"""Key of the layout in the fleet's partition of the topic of work."""
+"""Key of the layout record in the fleet's partition of the work topic."""
 LAYOUT_RETRY_S: Final = 0.3
-"""Time between two looks whether a service isn't laid out yet, in seconds."""
+"""Interval between reads of the layout while it lacks a configured service, in seconds."""
 
 TTL_MS: Final = 1800
-"""How long the platform keeps a member that it doesn't hear, in milliseconds.
+"""Time without a renewal after which the platform drops a member, in milliseconds.
 
-The jobs of a lost owner wait for so long. Three renewals fit into it, so that one slow or lost
-answer costs nothing.
+Three renewals fit into it, so one slow or lost answer doesn't cost the membership.
 """
 RENEW_INTERVAL_MS: Final = 450
-"""Time between two renewals of a membership, in milliseconds."""
+"""Interval between renewals of a membership, in milliseconds."""
 RETRY_INTERVAL_MS: Final = 250
-"""Pause after a renewal that failed, in milliseconds."""
+"""Pause after a failed renewal, in milliseconds."""
 HOLDERS_MAX_AGE_MS: Final = 4000
-"""How long a list of holders is believed without being read again, in milliseconds."""
+"""Age after which the cached list of holders is read again, in milliseconds."""
 HOLDERS_MIN_AGE_MS: Final = 250
-"""A list is not read again sooner than this, however many ask, in milliseconds."""
+"""Shortest interval between reads of the list, however many lookups fail, in milliseconds."""
 HOLDERS_REFRESH_MS: Final = 2000
-"""How recent a list of holders has to be to look for peers in it, in milliseconds."""
+"""Greatest age of the list of holders when peers are looked up in it, in milliseconds."""
 PEER_CHECK_INTERVAL_MS: Final = 700
-"""Time between two looks whether other processes can be reached, in milliseconds."""
-PEERS_ASKED: Final = 3
-"""Other processes that are asked in one look, one after the other."""
+"""Interval between checks whether other processes can be reached, in milliseconds."""
+MAX_PEERS_PER_CHECK: Final = 3
+"""Number of processes that one check tries, one after the other."""
 ISOLATED_AFTER_MS: Final = TTL_MS + PEER_CHECK_INTERVAL_MS + 300
-"""How long no other process must have been reached, in milliseconds, until partitions are given up.
+"""Time without contact to another process until all partitions are given up, in milliseconds.
 
-Four looks, so that a few lost packets don't count; and longer than peers that have died are listed,
-which may have been reached one look before their end.
+Longer than a dead peer stays listed, and long enough for four checks.
 """
 
-ENOUGH_ROOM: Final = 1000
-"""Processor from which on a process always takes part in owning partitions, in thousandths of a
-core. The busiest owner of two partitions took 0.24 to 0.32 of one as the mean of a day, and a
-service's turn takes more: half a core is too little."""
-FEWEST_OWNERS: Final = 3
-"""With fewer processes that own partitions, smaller ones join: one or two may be lost at once."""
+MIN_OWNER_CAPACITY: Final = 1000
+"""Processor from which on a process always takes part in ownership, in thousandths of a core."""
+MIN_OWNERS: Final = 3
+"""Number of owners below which small processes join, so that one or two can be lost at once."""
 RESERVE_CHECK_MS: Final = 1800
-"""Time between two looks of a small process at the list of owners, in milliseconds. Where most
-processes are small these looks are most of what the store is asked, and an owner's membership takes
-as long to run out."""
+"""Interval at which a small process checks the list of owners, in milliseconds.
+
+An owner's membership takes as long to expire, and shorter intervals would load the store.
+"""
 RESERVE_RECHECK_MS: Final = 500
-"""Time until the next look while owners are missing, in milliseconds."""
+"""Interval between checks while a change is pending, in milliseconds."""
 STEP_IN_AFTER_MS: Final = 1000
-"""How long owners must have been missing before a small process joins, in milliseconds: three
-looks, so that neither a start nor a hand-over among the larger ones counts."""
+"""Time that owners must have been missing before a small process joins, in milliseconds.
+
+Covers three checks, so that a start or a handover among larger processes doesn't count.
+"""
 STAND_BACK_AFTER_MS: Final = 10_000
-"""How long the larger ones must have been enough before it leaves, in milliseconds: each change of
-owners costs the jobs of its partitions about a second."""
+"""Time that larger owners must have sufficed before a small one leaves, in milliseconds.
+
+Each change of owners delays the jobs of its partitions.
+"""
--- a/heatherkeel/ownership/holders.py
+++ b/heatherkeel/ownership/holders.py
@@ -1,4 +1,4 @@
-"""Where the owner of each partition takes questions."""
+"""Looks up the address of each partition's owner."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 from heatherkeel.platform.store import StoreClient
 
 from .const import GROUP, HOLDERS_MAX_AGE_MS, HOLDERS_MIN_AGE_MS, HOLDERS_REFRESH_MS, WORK_TOPIC
-from .member import parse_member
+from .member import parse_member_name
 
 _LOGGER = logging.getLogger(__name__)
 
 
 class Holders:
-    """The list of holders as last read; read again when it is old or was found wrong."""
+    """Caches the list of partition holders; reads it again when it is old or found wrong."""
 
     def __init__(self, *, store: StoreClient) -> None:
         self.store = store
         self.addresses: dict[int, str] = {}
-        self.rooms: dict[str, int] = {}
-        """The processor of each owner's process by its address, in thousandths of a core."""
+        """The address of each partition's owner."""
+        self.capacities: dict[str, int] = {}
+        """The processor of each owner by its address, in thousandths of a core."""
         self.answered_ms = -HOLDERS_MAX_AGE_MS
-        """When the store answered last."""
+        """When the store last answered a read."""
         self.read_ms = -HOLDERS_MAX_AGE_MS
+        """When the list was last read, successfully or not."""
         self.lock = trio.Lock()
 
     async def async_find(self, partition: int, *, but_not: str = "") -> str:
@@ -43,11 +45,11 @@
         return self.addresses.get(partition, "")
 
     def list_others(self, own: str) -> list[str]:
-        """Return the addresses of the owners that were read last, but for our own."""
+        """Return the cached addresses of all owners except `own`."""
         return sorted(set(self.addresses.values()) - {own})
 
     async def async_refresh(self, *, max_age_ms: int = HOLDERS_REFRESH_MS) -> bool:
-        """Read the list unless it is so recent; says whether it is that now."""
+        """Read the list if it is older than `max_age_ms`; return whether it is recent now."""
         since_ms = monotonic_ms() - max_age_ms
         if self.read_ms < since_ms:
             await self._async_read()
@@ -62,15 +64,15 @@
             self.read_ms = monotonic_ms()
             if isinstance(listed, Err):
                 _LOGGER.warning(
-                    "the list of owners can't be read; the old one is used",
+                    "cannot read the list of partition owners; using the previous list",
                     extra={"event": "holders_unread", "detail": listed.err_value.detail},
                 )
                 return
             self.answered_ms = self.read_ms
             members = {
-                holder.partition: parse_member(holder.member)
+                holder.partition: parse_member_name(holder.member)
                 for holder in listed.ok_value
                 if holder.topic == WORK_TOPIC and holder.member
             }
             self.addresses = {number: address for number, (address, _) in members.items()}
-            self.rooms = dict(members.values())
+            self.capacities = dict(members.values())
--- a/heatherkeel/ownership/isolation.py
+++ b/heatherkeel/ownership/isolation.py
@@ -1,4 +1,4 @@
-"""Finds out that no other process can be reached, though the store can."""
+"""Detects that this process reaches the store but no other process."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 from heatherkeel.helpers.clock import monotonic_ms
 
-from .const import ISOLATED_AFTER_MS, PEER_CHECK_INTERVAL_MS, PEERS_ASKED
+from .const import ISOLATED_AFTER_MS, MAX_PEERS_PER_CHECK, PEER_CHECK_INTERVAL_MS
 from .holders import Holders
-from .member import GroupMember, StayOut
+from .member import ExclusionReason, GroupMember
 
 _LOGGER = logging.getLogger(__name__)
 
 
 class IsolationWatch:
-    """Keeps a process out of the group of owners while no other can reach it.
+    """Keeps an isolated process out of the group of owners.
 
-    Such a process keeps its membership, since it reaches the store. As the fleet's owner it sees
-    no pool's load and moves no machine; as an owner of jobs it is asked in vain by all fronts, and
-    its pools get no machines. One that is alone in the group stays.
+    Such a process renews its membership, since it reaches the store, but it can't serve its
+    partitions: entry instances and the fleet's owner can't reach it. A process that is alone in
+    the group isn't isolated.
     """
 
     def __init__(
@@ -34,54 +34,54 @@
         self.member = member
         self.holders = holders
         self.async_reach = async_reach
-        self.heard_ms = monotonic_ms()
+        self.last_contact_ms = monotonic_ms()
 
-    def take_heard(self) -> None:
-        """Hear that another process has asked something."""
-        self.heard_ms = monotonic_ms()
+    def record_contact(self) -> None:
+        """Record that another process has sent a question."""
+        self.last_contact_ms = monotonic_ms()
 
     async def async_run(self) -> None:
         """Check until cancelled."""
         while True:
             await trio.sleep(PEER_CHECK_INTERVAL_MS / 1000)
-            if self.member.may_order() or StayOut.ISOLATED in self.member.out_for:
+            if self.member.may_order() or ExclusionReason.ISOLATED in self.member.excluded_for:
                 await self._async_check()
 
     async def _async_check(self) -> None:
-        if monotonic_ms() - self.heard_ms < PEER_CHECK_INTERVAL_MS:
-            return self._take_reached()
+        if monotonic_ms() - self.last_contact_ms < PEER_CHECK_INTERVAL_MS:
+            return self._record_reachable()
         await self.holders.async_refresh()
         peers = self._list_peers()
         if not peers:
-            return self._take_reached()
-        # Others each time, so that one dead peer doesn't count for all.
+            return self._record_reachable()
+        # Start with another peer each time, so that a few dead ones can't hide the others.
         start = monotonic_ms() // PEER_CHECK_INTERVAL_MS % len(peers)
-        for address in [*peers[start:], *peers[:start]][:PEERS_ASKED]:
+        for address in [*peers[start:], *peers[:start]][:MAX_PEERS_PER_CHECK]:
             if await self.async_reach(address):
-                return self._take_reached()
-        if not self._is_long() or StayOut.ISOLATED in self.member.out_for:
+                return self._record_reachable()
+        if not self._is_overdue() or ExclusionReason.ISOLATED in self.member.excluded_for:
             return None
-        # The list that was read last may name peers that have died since, and only these: a
-        # process that is left alone would give up what nobody else can take.
+        # The cached list may name only peers that have died since. Read it again, so that the
+        # last process doesn't give up partitions that nobody else can take over.
         is_read = await self.holders.async_refresh(max_age_ms=0)
         if is_read and not self._list_peers():
-            return self._take_reached()
-        if self._is_long():
+            return self._record_reachable()
+        if self._is_overdue():
             _LOGGER.warning(
                 "no other process can be reached; giving up all partitions",
-                extra={"event": "isolated", "asked": len(peers[:PEERS_ASKED])},
+                extra={"event": "isolated", "asked": len(peers[:MAX_PEERS_PER_CHECK])},
             )
-            await self.member.async_pause(StayOut.ISOLATED)
+            await self.member.async_pause(ExclusionReason.ISOLATED)
         return None
 
-    def _is_long(self) -> bool:
-        return monotonic_ms() - self.heard_ms >= ISOLATED_AFTER_MS
+    def _is_overdue(self) -> bool:
+        return monotonic_ms() - self.last_contact_ms >= ISOLATED_AFTER_MS
 
     def _list_peers(self) -> list[str]:
         return self.holders.list_others(self.member.address)
 
-    def _take_reached(self) -> None:
-        self.heard_ms = monotonic_ms()
-        if StayOut.ISOLATED in self.member.out_for:
+    def _record_reachable(self) -> None:
+        self.last_contact_ms = monotonic_ms()
+        if ExclusionReason.ISOLATED in self.member.excluded_for:
             _LOGGER.info("other processes can be reached again", extra={"event": "reachable"})
-            self.member.resume(StayOut.ISOLATED)
+            self.member.resume(ExclusionReason.ISOLATED)
--- a/heatherkeel/ownership/member.py
+++ b/heatherkeel/ownership/member.py
@@ -1,4 +1,4 @@
-"""Keeps this process in the group of owners, and tells what it gains and loses."""
+"""Keeps this process in the group of owners and reports gained and lost partitions."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class StayOut(StrEnum):
-    """Why a process doesn't take part in owning partitions."""
+class ExclusionReason(StrEnum):
+    """Why a process doesn't take part in partition ownership."""
 
     ISOLATED = "isolated"
     """No other process can be reached."""
     RESERVE = "reserve"
-    """It has little processor, and larger ones own everything."""
+    """It is small, and larger processes own all partitions."""
 
 
-def name_member(address: str, *, room: int, life: str) -> str:
-    """Return a member's name: where it takes questions, its processor, and which life it is."""
-    return f"{address}/{room}/{life}"
+def format_member_name(address: str, *, capacity: int, incarnation: str) -> str:
+    """Return a member's name: its address for questions, its processor and its incarnation."""
+    return f"{address}/{capacity}/{incarnation}"
 
 
-def parse_member(name: str) -> tuple[str, int]:
-    """Return a member's address, and its processor in thousandths of a core; 0 if not told."""
+def parse_member_name(name: str) -> tuple[str, int]:
+    """Return a member's address and its processor in thousandths of a core; 0 if missing."""
     address, _, rest = name.partition("/")
-    room, _, _ = rest.partition("/")
-    return address, int(room) if room.isdecimal() else 0
+    capacity, _, _ = rest.partition("/")
+    return address, int(capacity) if capacity.isdecimal() else 0
 
 
 class GroupMember:
-    """One process's membership; its name tells others where to reach it."""
+    """One process's group membership; the member's name contains the process's address."""
 
     def __init__(
         self,
@@ -48,67 +48,69 @@
         store: StoreClient,
         address: str,
         incarnation: str,
-        room: int = 0,
+        capacity: int = 0,
         on_change: Callable[[Change], Awaitable[None]],
     ) -> None:
         self.store = store
         self.address = address
         self.incarnation = incarnation
-        self.room = room
+        self.capacity = capacity
+        """The processor of this process, in thousandths of a core."""
         self.on_change = on_change
         self.tenure = Tenure(topic=WORK_TOPIC)
-        self.leaves = 0
-        """How often this process gave its membership up; part of its name, so that the
-        platform sees a new member and raises the generation."""
+        self.leave_count = 0
+        """How often this process has left; part of its name, so that the platform sees a new
+        member and raises the generation."""
         self.connected = True
         self.answered_ms = monotonic_ms()
-        """When the store answered a renewal last."""
+        """When the store last answered a renewal."""
         self.closing = False
-        self.out_for: set[StayOut] = set()
-        self.fence_seen = trio.Event()
+        self.excluded_for: set[ExclusionReason] = set()
+        self.fenced = trio.Event()
+        """Set when another process has proved to own a partition held here."""
         self.resumed = trio.Event()
-        """Set when a reason to stay out has gone."""
+        """Set when a reason for exclusion has ended."""
 
     @property
     def name(self) -> str:
-        """Return the member's name; it changes with each time that the membership is given up."""
-        life = f"{self.incarnation}-{self.leaves}"
-        return name_member(self.address, room=self.room, life=life)
+        """Return the member's name; it changes each time the process leaves the group."""
+        incarnation = f"{self.incarnation}-{self.leave_count}"
+        return format_member_name(self.address, capacity=self.capacity, incarnation=incarnation)
 
     @property
     def is_paused(self) -> bool:
-        """Say whether this process stays out of the group."""
-        return bool(self.out_for)
+        """Return whether this process stays out of the group."""
+        return bool(self.excluded_for)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin to renew the membership."""
+        """Start renewing the membership."""
         nursery.start_soon(self._async_run)
 
     async def close(self) -> None:
-        """Give all partitions up and leave the group, so that others take over at once."""
+        """Give up all partitions and leave the group, so that others take over at once."""
         self.closing = True
-        await self.on_change(self.tenure.drop())
+        await self.on_change(self.tenure.release_all())
         await self._async_leave()
 
     def may_order(self) -> bool:
-        """Say whether this process may still give orders for what it holds."""
+        """Return whether this process may still issue orders for its partitions."""
         return not self.closing and self.tenure.is_valid(monotonic_ms())
 
-    async def async_pause(self, reason: StayOut) -> None:
-        """Give all partitions up, and stay out of the group until `resume`."""
-        self.out_for.add(reason)
-        await self.on_change(self.tenure.drop())
+    async def async_pause(self, reason: ExclusionReason) -> None:
+        """Give up all partitions, and stay out of the group until `resume`."""
+        self.excluded_for.add(reason)
+        await self.on_change(self.tenure.release_all())
         await self._async_leave()
-        self.leaves += 1
+        self.leave_count += 1
 
-    def resume(self, reason: StayOut) -> None:
-        """Join the group again, unless there is another reason not to."""
-        self.out_for.discard(reason)
+    def resume(self, reason: ExclusionReason) -> None:
+        """Join the group again, unless another reason for exclusion remains."""
+        self.excluded_for.discard(reason)
         self.resumed.set()
 
     def rejoin(self) -> None:
-        """Join under a new name: somebody else has proved to own what this process held."""
-        self.fence_seen.set()
+        """Join under a new name, since another process has proved to own a partition held here."""
+        self.fenced.set()
 
     async def _async_run(self) -> None:
         while not self.closing:
@@ -118,15 +120,15 @@
                 continue
             pause_ms = await self._async_renew()
             with trio.move_on_after(pause_ms / 1000):
-                await self.fence_seen.wait()
-            if self.fence_seen.is_set() and not self.closing:
-                self.fence_seen = trio.Event()
-                await self.on_change(self.tenure.drop())
+                await self.fenced.wait()
+            if self.fenced.is_set() and not self.closing:
+                self.fenced = trio.Event()
+                await self.on_change(self.tenure.release_all())
                 await self._async_leave()
-                self.leaves += 1
+                self.leave_count += 1
 
     async def _async_renew(self) -> int:
-        """Renew once; returns the pause until the next time in milliseconds."""
+        """Renew once; return the pause until the next renewal in milliseconds."""
         name = self.name
         sent_ms = monotonic_ms()
         joined = await self.store.async_join(
@@ -137,18 +139,18 @@
             generation=self.tenure.generation,
         )
         if self.closing or self.is_paused or name != self.name:
-            # Given up meanwhile: this answer may have come after the leave was carried out.
+            # The process has left meanwhile; the platform may have handled the leave first.
             return 0
         if isinstance(joined, Err):
-            self._tell_connected(False, joined.err_value.detail)
+            self._update_connected(False, joined.err_value.detail)
             return RETRY_INTERVAL_MS
         self.answered_ms = monotonic_ms()
-        self._tell_connected(True, "")
-        change = self.tenure.take(joined.ok_value, sent_ms=sent_ms, now_ms=monotonic_ms())
+        self._update_connected(True, "")
+        change = self.tenure.apply_renewal(joined.ok_value, sent_ms=sent_ms, now_ms=monotonic_ms())
         if not change.lost and not change.gained:
             return RENEW_INTERVAL_MS
         _LOGGER.info(
-            "ownership changed",
+            "partition ownership changed",
             extra={
                 "event": "ownership",
                 "generation": self.tenure.generation,
@@ -157,26 +159,26 @@
             },
         )
         await self.on_change(change)
-        # A partition that was lost goes to its next owner only once this process has said, by
-        # joining with the new generation, that it knows.
+        # The platform assigns a lost partition to its next owner only after this process has
+        # acknowledged the loss by joining with the new generation.
         return 0 if change.lost else RENEW_INTERVAL_MS
 
     async def _async_leave(self) -> None:
         left = await self.store.async_leave(group=GROUP, member=self.name)
         if isinstance(left, Err):
             _LOGGER.warning(
-                "could not leave the group: its partitions wait until the membership runs out",
+                "could not leave the group; partitions have no owner until the membership expires",
                 extra={"event": "leave_failed", "detail": left.err_value.detail},
             )
 
-    def _tell_connected(self, connected: bool, detail: str) -> None:
+    def _update_connected(self, connected: bool, detail: str) -> None:
         if connected == self.connected:
             return
         self.connected = connected
         event = "store_regained" if connected else "store_lost"
         _LOGGER.log(
             logging.INFO if connected else logging.WARNING,
-            "renewals of the membership %s",
+            "membership renewals %s",
             "succeed again" if connected else "fail",
             extra={"event": event, "detail": detail},
         )
--- a/heatherkeel/ownership/partitions.py
+++ b/heatherkeel/ownership/partitions.py
@@ -1,4 +1,4 @@
-"""Which partitions run a service's jobs, and which of them each worker belongs to."""
+"""Maps jobs and machines of each service to partitions."""
 
 from __future__ import annotations
 
@@ -13,37 +13,33 @@
 from result import Err, Ok, Result
 
 WORKERS_A_SHARE: Final = 24
-"""Machines for which a service gets one more partition.
+"""Number of machines for which a service gets one more partition.
 
-Each share has jobs and machines of its own. Of six with a dozen each, one wanted seven times what
-it had while the others idled, and a pool in its turn used 0.64 of its processor. Of three with 24,
-it used 0.8, and 0.86 of a day's jobs were in time instead of 0.73. A start takes an owner 0.6 ms of
-a core for the call alone: the busiest owner of such a share took 0.25 of a core as the mean of a
-day, and 0.40 where tasks are shorter. Twice the size would ask for more than a small process has.
+Smaller shares fill unevenly, and larger ones need more processor than a small owner has.
 """
 
 
 def fleet_partition(partitions: int) -> int:
-    """Return the partition whose owner moves and maintains machines."""
+    """Return the partition whose owner manages the machines of the whole fleet."""
     return partitions - 1
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Layout:
-    """How services are shared out among partitions.
+    """Assignment of services and machines to partitions.
 
-    It is stored once and only ever grows: if a service's partitions or a machine's place changed,
-    jobs would be sent to owners that don't know them, and a worker would have two.
+    It is stored once and only ever extended: if a service's partitions or a machine's place
+    changed, jobs would be routed to owners that don't know them, and workers would have two owners.
     """
 
     shares: Mapping[str, tuple[int, ...]] = field(default_factory=dict)
     """The partitions of each service; each has its own jobs and workers."""
     places: Mapping[str, int] = field(default_factory=dict)
-    """The number of each machine, by which the machines of a pool are dealt out evenly."""
+    """The number of each machine, used to distribute a pool's machines evenly."""
     homes: Mapping[str, int] = field(default_factory=dict)
-    """How many machines each service had when it was laid out, before any was moved."""
+    """Number of machines that each service had when it was laid out, before any was moved."""
     is_mixed: bool = False
-    """Each service deals the machines out in another way; layouts stored earlier don't say so."""
+    """Whether each service distributes the machines differently; missing in older layouts."""
 
     def partitions_of(self, service: str) -> tuple[int, ...]:
         """Return the partitions of a service; none if it isn't laid out yet."""
@@ -51,37 +47,35 @@
 
     def partition_of_job(self, service: str, job_id: str) -> int | None:
         """Return the partition of a job; None if its service isn't laid out yet."""
-        return _pick(self.partitions_of(service), crc32(job_id.encode()))
+        return _pick_partition(self.partitions_of(service), crc32(job_id.encode()))
 
     def partition_of_machine(self, service: str, machine: str) -> int | None:
         """Return the partition of a machine while it is in a service's pool.
 
-        Machines that came after the layout was made are dealt out by a hash of their names.
-
-        Neighbours go to different shares, and which of them to which differs from service to
-        service. Were it the same for all, the machines that could come to a share would be those
-        of one share of each other service; where two of these have lasting tasks, which can't be
-        sent away, a share got 8 machines in its turn and its three siblings 32 each.
+        Neighbouring machines belong to different partitions, in an order that differs from service
+        to service. Otherwise, long-running tasks of one service could keep all machines from the
+        same partition of another. Machines that joined after the layout was made are distributed
+        by a hash of their names.
         """
         partitions = self.partitions_of(service)
         place = self.places.get(machine)
         if place is None:
-            return _pick(partitions, crc32(machine.encode()))
+            return _pick_partition(partitions, crc32(machine.encode()))
         if self.is_mixed and partitions:
-            place += _rotation(service, place // len(partitions))
-        return _pick(partitions, place)
+            place += _rotation_offset(service, place // len(partitions))
+        return _pick_partition(partitions, place)
 
     def all_partitions(self) -> list[int]:
-        """Return every partition that has a share of a service."""
+        """Return every partition that at least one service uses."""
         return sorted({number for shares in self.shares.values() for number in shares})
 
     def encode(self) -> bytes:
-        """Return the bytes under which it is stored."""
+        """Return the layout in the encoding in which it is stored."""
         return msgspec.json.encode(self)
 
 
 def decode_layout(value: bytes) -> Result[Layout, str]:
-    """Read a stored layout."""
+    """Decode a stored layout; returns the error's text if it is malformed."""
     try:
         return Ok(msgspec.json.decode(value, type=Layout))
     except (ValueError, RecursionError) as err:
@@ -91,11 +85,12 @@
 def extend_layout(
     layout: Layout, *, services: list[str], pools: Mapping[str, list[str]], partitions: int
 ) -> Layout:
-    """Return a layout with these services too; `pools` has all machines, in the order of racks.
+    """Return the layout extended by these services.
 
-    A pool in its turn holds more machines than at first, so all machines count for its shares,
-    and not its own ones. Machines are numbered once, so that the neighbours in a rack belong to
-    different shares and the loss of a rack hits all of them alike.
+    `pools` has all machines, in the order of racks. The number of a service's partitions depends
+    on all machines instead of its own, since its pool grows at a demand peak. Machines are
+    numbered once, so that neighbours in a rack belong to different partitions and the loss of a
+    rack affects all of them alike.
     """
     missing = [service for service in sorted(services) if service not in layout.shares]
     if not missing:
@@ -120,14 +115,14 @@
 
 
 @cache
-def _rotation(service: str, group: int) -> int:
-    """Return by how much the shares of a group of neighbours are turned for a service.
+def _rotation_offset(service: str, group: int) -> int:
+    """Return the offset by which a service rotates the partitions of a group of neighbours.
 
-    By a cryptographic hash: cyclic checks of two names differ by the same bits whatever follows
-    them, and two services would deal alike.
+    Uses a cryptographic hash: the CRCs of two services' names would differ by the same bits for
+    every group, so both services would distribute machines alike.
     """
     return sha256(f"{service}/{group}".encode()).digest()[0]
 
 
-def _pick(partitions: tuple[int, ...], number: int) -> int | None:
+def _pick_partition(partitions: tuple[int, ...], number: int) -> int | None:
     return partitions[number % len(partitions)] if partitions else None
--- a/heatherkeel/ownership/reserve.py
+++ b/heatherkeel/ownership/reserve.py
@@ -1,4 +1,4 @@
-"""Keeps processes with little processor out of the group while larger ones own everything."""
+"""Keeps small processes out of the group while larger ones own all partitions."""
 
 from __future__ import annotations
 
@@ -9,79 +9,80 @@
 from heatherkeel.helpers.clock import monotonic_ms
 
 from .const import (
-    ENOUGH_ROOM,
-    FEWEST_OWNERS,
+    MIN_OWNER_CAPACITY,
+    MIN_OWNERS,
     RESERVE_CHECK_MS,
     RESERVE_RECHECK_MS,
     STAND_BACK_AFTER_MS,
     STEP_IN_AFTER_MS,
 )
 from .holders import Holders
-from .member import GroupMember, StayOut
+from .member import ExclusionReason, GroupMember
 
 _LOGGER = logging.getLogger(__name__)
 
 
 class ReserveWatch:
-    """Lets a small process join only when partitions would be without an owner otherwise.
+    """Lets a small process join only while there are too few larger owners.
 
-    The platform deals partitions out evenly among whoever joins. Where most machines have half a
-    core, most partitions would go to them, and their jobs would wait for their owner's calls
-    while the larger machines idle.
+    The platform assigns partitions evenly to all members. If small processes always joined, their
+    partitions would be slow while larger machines idle.
     """
 
     def __init__(
-        self, *, member: GroupMember, holders: Holders, room: int, partitions: int
+        self, *, member: GroupMember, holders: Holders, capacity: int, partitions: int
     ) -> None:
         self.member = member
         self.holders = holders
-        self.room = room
+        self.capacity = capacity
         self.partitions = partitions
-        self.changing_since_ms: int | None = None
-        """Since when each look has asked for the other state."""
-        if room < ENOUGH_ROOM:
-            member.out_for.add(StayOut.RESERVE)
+        self.pending_since_ms: int | None = None
+        """Since when all checks have called for a change; None if the last one didn't."""
+        if capacity < MIN_OWNER_CAPACITY:
+            member.excluded_for.add(ExclusionReason.RESERVE)
 
     async def async_run(self) -> None:
-        """Check until cancelled; a process with enough room has nothing to check."""
-        while self.room < ENOUGH_ROOM:
-            waits_for_change = self.changing_since_ms is not None
-            pause_ms = RESERVE_RECHECK_MS if waits_for_change else RESERVE_CHECK_MS
+        """Check until cancelled; return at once if this process is large enough."""
+        while self.capacity < MIN_OWNER_CAPACITY:
+            is_pending = self.pending_since_ms is not None
+            pause_ms = RESERVE_RECHECK_MS if is_pending else RESERVE_CHECK_MS
             await trio.sleep(pause_ms / 1000)
             if await self.holders.async_refresh(max_age_ms=0):
                 await self._async_decide()
 
     async def _async_decide(self) -> None:
-        is_out = StayOut.RESERVE in self.member.out_for
-        lacks_owners = self._lacks_owners(larger_only=not is_out)
-        wants_change = lacks_owners if is_out else not lacks_owners
+        is_excluded = ExclusionReason.RESERVE in self.member.excluded_for
+        needs_owners = self._needs_owners(larger_only=not is_excluded)
+        wants_change = needs_owners if is_excluded else not needs_owners
         if not wants_change:
-            self.changing_since_ms = None
+            self.pending_since_ms = None
             return
         now_ms = monotonic_ms()
-        if self.changing_since_ms is None:
-            self.changing_since_ms = now_ms
-        waited_ms = now_ms - self.changing_since_ms
-        if waited_ms < (STEP_IN_AFTER_MS if is_out else STAND_BACK_AFTER_MS):
+        if self.pending_since_ms is None:
+            self.pending_since_ms = now_ms
+        waited_ms = now_ms - self.pending_since_ms
+        if waited_ms < (STEP_IN_AFTER_MS if is_excluded else STAND_BACK_AFTER_MS):
             return
-        self.changing_since_ms = None
+        self.pending_since_ms = None
         _LOGGER.info(
-            "a small process %s",
-            "joins the owners" if is_out else "leaves the owners to larger ones",
+            "small process %s",
+            "joins the group of owners" if is_excluded else "leaves the group of owners",
             extra={
                 "event": "reserve",
-                "room": self.room,
-                "owners": len(self.holders.rooms),
+                "room": self.capacity,
+                "owners": len(self.holders.capacities),
                 "owned": len(self.holders.addresses),
             },
         )
-        if is_out:
-            self.member.resume(StayOut.RESERVE)
+        if is_excluded:
+            self.member.resume(ExclusionReason.RESERVE)
         else:
-            await self.member.async_pause(StayOut.RESERVE)
+            await self.member.async_pause(ExclusionReason.RESERVE)
 
-    def _lacks_owners(self, *, larger_only: bool) -> bool:
-        """Say whether partitions lack an owner, or have so few that their loss would hurt."""
-        least = ENOUGH_ROOM if larger_only else 0
-        owners = [room for room in self.holders.rooms.values() if room >= least]
-        return len(owners) < FEWEST_OWNERS or len(self.holders.addresses) < self.partitions
+    def _needs_owners(self, *, larger_only: bool) -> bool:
+        """Return whether partitions have no owner, or too few processes own all of them."""
+        threshold = MIN_OWNER_CAPACITY if larger_only else 0
+        owners = [
+            capacity for capacity in self.holders.capacities.values() if capacity >= threshold
+        ]
+        return len(owners) < MIN_OWNERS or len(self.holders.addresses) < self.partitions
--- a/heatherkeel/ownership/tenure.py
+++ b/heatherkeel/ownership/tenure.py
@@ -1,4 +1,4 @@
-"""What a process may believe about the partitions that it holds."""
+"""Tracks the partitions that this process owns and for how long they are certainly its own."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Change:
-    """Partitions that were lost, and those that were gained with their tokens."""
+    """Partitions that were lost, and those that were gained with their fencing tokens."""
 
     lost: frozenset[int] = frozenset()
     gained: dict[int, int] = field(default_factory=dict)
@@ -19,11 +19,11 @@
 
 @dataclass(kw_only=True, slots=True)
 class Tenure:
-    """The partitions that this process holds, each under the token that it got it with.
+    """The partitions that this process owns, each with its fencing token.
 
-    The token is the group's generation at the time. The platform raises that with each change
-    and gives a partition to one member in each, so no two owners of a partition share a token,
-    and a later owner has the higher one, also after a restart of everything.
+    The token is the group's generation when the partition was gained. The platform raises the
+    generation with each change and assigns a partition to one member in each, so no two owners
+    share a token and a later owner has the higher one, also after a restart of everything.
     """
 
     topic: str
@@ -32,19 +32,19 @@
     tokens: dict[int, int] = field(default_factory=dict)
 
     def is_valid(self, now_ms: int) -> bool:
-        """Say whether nobody else can have been given what this process holds."""
+        """Return whether no other process can own the partitions yet."""
         return now_ms < self.valid_until_ms
 
-    def take(self, share: Share, *, sent_ms: int, now_ms: int) -> Change:
-        """Take in an answer to a renewal that was sent at `sent_ms`.
+    def apply_renewal(self, share: Share, *, sent_ms: int, now_ms: int) -> Change:
+        """Apply the answer to a renewal that was sent at `sent_ms`.
 
-        Where the membership had run out before the answer and the generation has moved on,
-        others may have held the partitions in between, so all of them are gained anew.
+        If the membership expired before the answer and the generation has changed, others may
+        have owned the partitions in between, so all of them are lost and gained anew.
         """
         was_valid = self.is_valid(now_ms)
-        moved_on = share.generation != self.generation
+        is_new_generation = share.generation != self.generation
         held = share.partitions.get(self.topic, set())
-        kept = set() if moved_on and not was_valid else self.tokens.keys() & held
+        kept = set() if is_new_generation and not was_valid else self.tokens.keys() & held
         lost = frozenset(self.tokens.keys() - kept)
         gained = dict.fromkeys(held - kept, share.generation)
         self.tokens = {number: self.tokens[number] for number in kept} | gained
@@ -52,8 +52,8 @@
         self.valid_until_ms = sent_ms + TTL_MS
         return Change(lost=lost, gained=gained)
 
-    def drop(self) -> Change:
-        """Give everything up, as at a stop or when somebody else has proved to be the owner."""
+    def release_all(self) -> Change:
+        """Give up all partitions, as at a stop or after another process has fenced this one."""
         lost = frozenset(self.tokens)
         self.tokens = {}
         self.generation = 0
--- a/tests/ownership/test_isolation.py
+++ b/tests/ownership/test_isolation.py
@@ -1,4 +1,4 @@
-"""A process that no other can reach gives its partitions up, and takes part again later."""
+"""An isolated process gives up its partitions and joins again later."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 )
 from heatherkeel.ownership.holders import Holders
 from heatherkeel.ownership.isolation import IsolationWatch
-from heatherkeel.ownership.member import GroupMember, StayOut
+from heatherkeel.ownership.member import ExclusionReason, GroupMember
 from heatherkeel.ownership.tenure import Change
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.platform.store_answers import PartitionHolder, Share
 
 
 class FakeStore(StoreClient):
-    """A store that knows one other member, and counts who leaves."""
+    """A store with some other members, which counts leaves."""
 
     def __init__(self, *, others: int) -> None:
         self.others = others
         self.others_until_s = math.inf
-        """Until when the others are listed, on the steady clock."""
+        """Until when the others are listed, on the monotonic clock."""
         self.left = 0
 
     async def async_join(self, **_: object) -> Ok[Share]:
-        """Deal one partition."""
+        """Assign one partition."""
         return Ok(Share(generation=3, partitions={WORK_TOPIC: {1}}))
 
     async def async_leave(self, **_: object) -> Ok[None]:
-        """Count who leaves."""
+        """Count the call."""
         self.left += 1
         return Ok(None)
 
     async def async_list_holders(self, **_: object) -> Ok[list[PartitionHolder]]:
-        """Name the others."""
+        """List the others."""
         return Ok(
             [
                 PartitionHolder(topic=WORK_TOPIC, partition=2 + n, member=f"10.0.0.{n}:1/x")
@@ -52,8 +52,8 @@
         )
 
 
-class Isolated:
-    """A process whose peers answer or not, with what it gained and lost."""
+class IsolationScene:
+    """A process whose peers answer or not; records the changes of ownership."""
 
     def __init__(self, *, others: int) -> None:
         self.store = FakeStore(others=others)
@@ -69,58 +69,54 @@
         )
 
     async def async_change(self, change: Change) -> None:
-        """Note a change."""
+        """Record a change."""
         self.changes.append(change)
 
     async def async_reach(self, address: str) -> bool:
-        """Say whether a peer answers."""
+        """Return whether a peer answers."""
         await trio.sleep(0.05)
         return self.is_reachable
 
 
-async def async_live(isolated: Isolated, ms: int) -> None:
-    """Let time pass for a process; the steady clock is the machine's own, so this waits."""
+async def async_run_for(scene: IsolationScene, ms: int) -> None:
+    """Run a process for some time; the code reads the real clock, so this waits."""
     with trio.move_on_after(ms / 1000):
         async with trio.open_nursery() as nursery:
-            isolated.member.start(nursery)
-            nursery.start_soon(isolated.watch.async_run)
+            scene.member.start(nursery)
+            nursery.start_soon(scene.watch.async_run)
 
 
-def test_process_that_reaches_no_other_gives_its_partitions_up() -> None:
-    """An instance is cut off from all others, but not from the store or the workers.
-
-    Its membership stays good, so as the fleet's owner it would see no pool's load, and no pool
-    would get a machine for as long as the cut lasts.
+def test_isolated_process_gives_up_its_partitions() -> None:
+    """An instance reaches the store but no other instance: as the fleet's owner it would keep its
+    membership and assign no machines, since it receives no pool's load.
     """
-    isolated = Isolated(others=2)
-    trio.run(async_live, isolated, ISOLATED_AFTER_MS + 2 * PEER_CHECK_INTERVAL_MS)
-    assert isolated.store.left == 1
-    assert isolated.changes[-1].lost == {1}
-    assert isolated.member.is_paused
+    scene = IsolationScene(others=2)
+    trio.run(async_run_for, scene, ISOLATED_AFTER_MS + 2 * PEER_CHECK_INTERVAL_MS)
+    assert scene.store.left == 1
+    assert scene.changes[-1].lost == {1}
+    assert scene.member.is_paused
 
 
-def test_process_that_is_alone_in_the_group_stays() -> None:
-    isolated = Isolated(others=0)
-    trio.run(async_live, isolated, ISOLATED_AFTER_MS + 2 * PEER_CHECK_INTERVAL_MS)
-    assert isolated.store.left == 0
+def test_only_member_of_the_group_stays() -> None:
+    scene = IsolationScene(others=0)
+    trio.run(async_run_for, scene, ISOLATED_AFTER_MS + 2 * PEER_CHECK_INTERVAL_MS)
+    assert scene.store.left == 0
 
 
-def test_process_takes_part_again_once_it_reaches_another() -> None:
-    isolated = Isolated(others=1)
-    isolated.member.out_for.add(StayOut.ISOLATED)
-    isolated.is_reachable = True
-    trio.run(async_live, isolated, 3 * PEER_CHECK_INTERVAL_MS)
-    assert not isolated.member.is_paused
-    assert isolated.changes[-1].gained == {1: 3}
+def test_process_joins_again_once_it_reaches_another() -> None:
+    scene = IsolationScene(others=1)
+    scene.member.excluded_for.add(ExclusionReason.ISOLATED)
+    scene.is_reachable = True
+    trio.run(async_run_for, scene, 3 * PEER_CHECK_INTERVAL_MS)
+    assert not scene.member.is_paused
+    assert scene.changes[-1].gained == {1: 3}
 
 
 def test_process_whose_only_peer_has_died_keeps_its_partitions() -> None:
-    """Of two processes one is killed; the list of owners names it while its membership lasts, and
-    the survivor's copy of that list for up to two seconds more.
-
-    The survivor reached nobody, took itself for cut off, and gave up all partitions there were.
+    """A killed peer stays listed until its membership expires; the survivor must not consider
+    itself isolated and give up all partitions.
     """
-    isolated = Isolated(others=1)
-    isolated.store.others_until_s = time.monotonic() + TTL_MS / 1000
-    trio.run(async_live, isolated, ISOLATED_AFTER_MS + 3 * PEER_CHECK_INTERVAL_MS)
-    assert isolated.store.left == 0
+    scene = IsolationScene(others=1)
+    scene.store.others_until_s = time.monotonic() + TTL_MS / 1000
+    trio.run(async_run_for, scene, ISOLATED_AFTER_MS + 3 * PEER_CHECK_INTERVAL_MS)
+    assert scene.store.left == 0
--- a/tests/ownership/test_partitions.py
+++ b/tests/ownership/test_partitions.py
@@ -1,4 +1,4 @@
-"""Services are shared out among partitions once, evenly, and for good."""
+"""Services are assigned to partitions evenly and permanently."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def make_layout(*, pools: int, machines: int, partitions: int = 12) -> Layout:
-    """Lay out some pools of as many machines each."""
+    """Return a layout of equally large pools."""
     return extend_layout(
         Layout(),
         services=[f"pool{number}" for number in range(pools)],
@@ -25,14 +25,14 @@
     )
 
 
-def test_small_pools_have_one_partition_each_and_no_two_the_same() -> None:
-    """Four pools of seven machines: with a hash of the name two of them often met in one."""
+def test_small_pools_have_one_partition_each_all_different() -> None:
+    """Small pools must not share a partition while others have none."""
     layout = make_layout(pools=4, machines=7)
     assert sorted(layout.shares.values()) == [(0,), (1,), (2,), (3,)]
 
 
 def test_large_pools_are_shared_evenly() -> None:
-    """A pool of 90 machines in its turn is more than one owner's calls can carry."""
+    """The calls for a large pool at its demand peak exceed one owner's capacity."""
     layout = make_layout(pools=4, machines=90)
     assert all(len(shares) == 4 for shares in layout.shares.values())
     used = Counter(number for shares in layout.shares.values() for number in shares)
@@ -40,7 +40,7 @@
 
 
 def test_neighbours_in_a_rack_belong_to_different_shares() -> None:
-    """A lost rack takes a like part of every share, and none whole."""
+    """The loss of a rack must affect every share alike."""
     layout = make_layout(pools=4, machines=90)
     rack = [f"m{number}" for number in range(8)]
     shares = Counter(layout.partition_of_machine("pool0", machine) for machine in rack)
@@ -48,7 +48,7 @@
 
 
 def count_free_by_share(layout: Layout, *, service: str, pinned: set[str]) -> Counter[int | None]:
-    """Count the machines that may come to each share of a service."""
+    """Count the machines that are available to each share of a service."""
     return Counter(
         layout.partition_of_machine(service, machine)
         for machine in layout.places
@@ -56,13 +56,9 @@
     )
 
 
-def test_lasting_tasks_of_other_services_weigh_on_all_shares_alike() -> None:
-    """The load: a queue's turn asks for most machines, while two others have lasting tasks.
-
-    A lasting job belongs to one share of its service, and pins machines there: 34 and 18 of 90,
-    the parts seen with tasks that may not stand together. Had each service dealt the machines out
-    alike, these could all be of one share of the third service: it had 38 machines to serve a
-    quarter of the jobs, and its siblings 90 each.
+def test_long_running_tasks_of_other_services_affect_all_shares_alike() -> None:
+    """Long-running tasks pin machines of one share of their service; if all services distributed
+    machines alike, the same share of every other service would lose all of them.
     """
     layout = make_layout(pools=4, machines=90)
     for first in layout.partitions_of("pool0"):
@@ -80,15 +76,15 @@
             assert min(free.values()) >= 60
 
 
-def test_machines_are_dealt_out_evenly_by_every_service() -> None:
+def test_every_service_distributes_machines_evenly() -> None:
     layout = make_layout(pools=4, machines=90)
     for service in layout.shares:
         free = count_free_by_share(layout, service=service, pinned=set())
         assert set(free.values()) == {90}
 
 
-def test_layout_that_was_stored_earlier_deals_as_it_did() -> None:
-    """Processes of two versions must name the same owner for each worker."""
+def test_older_stored_layout_keeps_its_distribution() -> None:
+    """Processes of two versions must assign each worker to the same partition."""
     layout = make_layout(pools=4, machines=90)
     stored = layout.encode().replace(b',"is_mixed":true', b"")
     earlier = decode_layout(stored).unwrap()
@@ -102,10 +98,10 @@
 
 
 @given(before=NAMES, added=NAMES, jobs=NAMES, machines=st.integers(1, 300))
-def test_what_is_laid_out_never_moves(
+def test_extending_a_layout_moves_nothing(
     before: list[str], added: list[str], jobs: list[str], machines: int
 ) -> None:
-    """A service is added: nobody's jobs or workers get another owner by it."""
+    """Adding a service must not move jobs or workers of others to another partition."""
     names = [f"m{number}" for number in range(machines)]
     first = extend_layout(Layout(), services=before, pools={"a": names}, partitions=12)
     then = extend_layout(
@@ -120,7 +116,7 @@
 
 
 @given(services=NAMES, machines=st.integers(1, 300), partitions=st.integers(1, 24))
-def test_layout_outlives_the_store_and_spares_the_fleets_partition(
+def test_layout_round_trips_and_avoids_the_fleet_partition(
     services: list[str], machines: int, partitions: int
 ) -> None:
     names = [f"m{number}" for number in range(machines)]
--- a/tests/ownership/test_reserve.py
+++ b/tests/ownership/test_reserve.py
@@ -1,4 +1,4 @@
-"""Small processes own partitions only where larger ones don't."""
+"""Small processes own partitions only while there are too few larger ones."""
 
 from __future__ import annotations
 
@@ -10,9 +10,14 @@
 from result import Err, Ok, Result
 
 from heatherkeel.ownership import reserve
-from heatherkeel.ownership.const import ENOUGH_ROOM, RESERVE_CHECK_MS, WORK_TOPIC
+from heatherkeel.ownership.const import MIN_OWNER_CAPACITY, RESERVE_CHECK_MS, WORK_TOPIC
 from heatherkeel.ownership.holders import Holders
-from heatherkeel.ownership.member import GroupMember, StayOut, name_member, parse_member
+from heatherkeel.ownership.member import (
+    ExclusionReason,
+    GroupMember,
+    format_member_name,
+    parse_member_name,
+)
 from heatherkeel.ownership.reserve import ReserveWatch
 from heatherkeel.ownership.tenure import Change
 from heatherkeel.platform.errors import CallError, Failure
@@ -26,35 +31,37 @@
     """A store whose list of owners a test sets."""
 
     def __init__(self) -> None:
-        self.rooms: list[int] | None = []
-        """The room of each partition's owner; None while the store is away."""
+        self.capacities: list[int] | None = []
+        """The processor of each partition's owner; None while the store is unavailable."""
         self.left = 0
 
     async def async_leave(self, **_: object) -> Ok[None]:
-        """Count who leaves."""
+        """Count the call."""
         self.left += 1
         return Ok(None)
 
     async def async_list_holders(self, **_: object) -> Result[list[PartitionHolder], CallError]:
-        """Name an owner of each partition that has one."""
-        if self.rooms is None:
+        """List the owner of each partition that has one."""
+        if self.capacities is None:
             return Err(CallError(failure=Failure.UNKNOWN))
         return Ok(
             [
                 PartitionHolder(
                     topic=WORK_TOPIC,
                     partition=number,
-                    member=name_member(f"10.0.0.{number}:1", room=room, life="a-0"),
+                    member=format_member_name(
+                        f"10.0.0.{number}:1", capacity=capacity, incarnation="a-0"
+                    ),
                 )
-                for number, room in enumerate(self.rooms)
+                for number, capacity in enumerate(self.capacities)
             ]
         )
 
 
-class Small:
-    """A process of half a core."""
+class SmallProcess:
+    """A process with half a core."""
 
-    def __init__(self, *, room: int = 516) -> None:
+    def __init__(self, *, capacity: int = 516) -> None:
         self.store = FakeStore()
         self.member = GroupMember(
             store=self.store, address="10.0.9.9:1", incarnation="a", on_change=self.async_change
@@ -62,15 +69,15 @@
         self.watch = ReserveWatch(
             member=self.member,
             holders=Holders(store=self.store),
-            room=room,
+            capacity=capacity,
             partitions=PARTITIONS,
         )
 
     async def async_change(self, change: Change) -> None:
-        """Take a change."""
+        """Ignore a change."""
 
-    def live(self, s: float) -> None:
-        """Let time pass."""
+    def run_for(self, s: float) -> None:
+        """Run the checks for some time."""
 
         async def async_run() -> None:
             with trio.move_on_after(s):
@@ -81,7 +88,7 @@
 
 @pytest.fixture(autouse=True)
 def _fast(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Look ten times as often; what counts is how many looks agree, and for how long."""
+    """Run ten times as fast, with the same number of checks."""
     for name in (
         "RESERVE_CHECK_MS",
         "RESERVE_RECHECK_MS",
@@ -93,70 +100,62 @@
 
 
 def test_small_process_stays_out_while_larger_ones_own_everything() -> None:
-    """Six large machines and thirty small ones: the platform deals to all that join alike.
-
-    With the small ones in the group most partitions had an owner with half a core, whose calls
-    came seconds late in a pool's turn.
-    """
-    small = Small()
-    small.store.rooms = [2150, 2150, 2150, 2150, 2150, 2150]
-    small.live(1.0)
+    """The platform assigns partitions evenly to all members; small owners would delay jobs."""
+    small = SmallProcess()
+    small.store.capacities = [2150, 2150, 2150, 2150, 2150, 2150]
+    small.run_for(1.0)
     assert small.member.is_paused
 
 
 def test_small_process_joins_when_partitions_have_no_owner() -> None:
-    small = Small()
-    small.store.rooms = [2150, 2150, 2150]
-    small.live(1.0)
+    small = SmallProcess()
+    small.store.capacities = [2150, 2150, 2150]
+    small.run_for(1.0)
     assert not small.member.is_paused
 
 
 def test_small_process_joins_when_all_large_ones_are_lost() -> None:
-    small = Small()
-    small.store.rooms = []
-    small.live(1.0)
+    small = SmallProcess()
+    small.store.capacities = []
+    small.run_for(1.0)
     assert not small.member.is_paused
 
 
-def test_one_look_at_a_hand_over_is_not_enough() -> None:
-    small = Small()
-    small.store.rooms = []
-    small.live(RESERVE_CHECK_MS / 10_000 + 0.04)
+def test_one_check_during_a_handover_is_not_enough() -> None:
+    small = SmallProcess()
+    small.store.capacities = []
+    small.run_for(RESERVE_CHECK_MS / 10_000 + 0.04)
     assert small.member.is_paused
 
 
-def test_nothing_changes_while_the_store_is_away() -> None:
-    """The list that was read last says nothing about who owns what now."""
-    small = Small()
-    small.store.rooms = None
-    small.live(1.0)
+def test_nothing_changes_while_the_store_is_unavailable() -> None:
+    """The cached list doesn't say who owns the partitions now."""
+    small = SmallProcess()
+    small.store.capacities = None
+    small.run_for(1.0)
     assert small.member.is_paused
 
 
 def test_small_process_leaves_once_larger_ones_are_enough() -> None:
-    small = Small()
-    small.store.rooms = []
-    small.live(1.0)
-    small.store.rooms = [2150, 2150, 2150, 1070, 1070, 516]
-    small.live(2.0)
-    assert small.member.out_for == {StayOut.RESERVE}
+    small = SmallProcess()
+    small.store.capacities = []
+    small.run_for(1.0)
+    small.store.capacities = [2150, 2150, 2150, 1070, 1070, 516]
+    small.run_for(2.0)
+    assert small.member.excluded_for == {ExclusionReason.RESERVE}
     assert small.store.left == 1
 
 
-def test_process_with_enough_room_never_stays_out() -> None:
-    large = Small(room=ENOUGH_ROOM)
-    large.store.rooms = [2150, 2150, 2150, 2150, 2150, 2150]
-    large.live(0.5)
+def test_large_process_never_stays_out() -> None:
+    large = SmallProcess(capacity=MIN_OWNER_CAPACITY)
+    large.store.capacities = [2150, 2150, 2150, 2150, 2150, 2150]
+    large.run_for(0.5)
     assert not large.member.is_paused
 
 
-def test_member_that_stays_out_asks_the_store_for_nothing_until_it_joins() -> None:
-    """Most processes of a large deployment are small and stay out of the group for good.
-
-    One that woke four times a second to see that it still stays out would cost as much as all else
-    that it does while no caller comes.
-    """
-    small = Small()
+def test_member_that_stays_out_sends_nothing_to_the_store() -> None:
+    """An excluded member must wait for `resume`, not poll whether it may join."""
+    small = SmallProcess()
     joined: list[float] = []
 
     async def async_join(**_: object) -> Err[CallError]:
@@ -169,7 +168,7 @@
             small.member.start(nursery)
             await trio.testing.wait_all_tasks_blocked()
             assert not joined
-            small.member.resume(StayOut.RESERVE)
+            small.member.resume(ExclusionReason.RESERVE)
             await trio.testing.wait_all_tasks_blocked()
             nursery.cancel_scope.cancel()
 
@@ -177,7 +176,7 @@
     assert len(joined) == 1
 
 
-def test_members_name_tells_where_it_is_and_how_much_room_it_has() -> None:
-    name = name_member("10.0.0.1:7060", room=2151, life="ab-3")
-    assert parse_member(name) == ("10.0.0.1:7060", 2151)
-    assert parse_member("10.0.0.1:7060") == ("10.0.0.1:7060", 0)
+def test_member_name_contains_address_and_capacity() -> None:
+    name = format_member_name("10.0.0.1:7060", capacity=2151, incarnation="ab-3")
+    assert parse_member_name(name) == ("10.0.0.1:7060", 2151)
+    assert parse_member_name("10.0.0.1:7060") == ("10.0.0.1:7060", 0)
--- a/tests/ownership/test_share_balance.py
+++ b/tests/ownership/test_share_balance.py
@@ -1,8 +1,7 @@
-"""How evenly a queue's turn falls on the shares of its service.
+"""A demand peak of a queue is spread evenly over its service's shares.
 
-The load is that of a large fleet: 276 machines of 64 cores, and a queue in its turn with some
-twelve jobs a second, each of two steps of eight tasks of 20 cores for 2.1 s. Shares can't help each
-other, so the one that gets most decides how many jobs are late.
+The load is that of a large fleet. Shares can't help each other, so the fullest one decides how
+many jobs are late.
 """
 
 from __future__ import annotations
@@ -21,16 +20,15 @@
 PARTITIONS = 24
 JOBS_A_SECOND = 12
 WINDOW_S = 4
-"""How long a job runs, in seconds: so many seconds of arrivals run at the same time."""
+"""Duration of a job in seconds; jobs that arrive within it run at the same time."""
 SLACK_FACTOR = 1.6
-"""How much longer than its own work a job may take by its objective."""
+"""Ratio of a job's allowed duration to the duration of its work."""
 MOST_OVER_MEAN = SLACK_FACTOR * FULL_SHARE
-"""What the fullest share may get of the mean. Pools get machines for the mean, filled to a share,
-and work that is so much more than that takes so much longer."""
+"""Greatest allowed ratio of the fullest share's load to the mean, for which pools get machines."""
 
 
-def lay_out() -> Layout:
-    """Lay the services out over a fleet's machines."""
+def make_layout() -> Layout:
+    """Return a layout of the services over a fleet's machines."""
     machines = [f"m{number}" for number in range(MACHINES)]
     size = MACHINES // len(SERVICES)
     pools = {
@@ -41,7 +39,7 @@
 
 
 def fullest_over_mean(layout: Layout, *, seed: int) -> float:
-    """Return how much more than the mean the fullest share has of the jobs that run at once."""
+    """Return the ratio of the fullest share's concurrent jobs to the mean."""
     random = Random(seed)
     shares = layout.partitions_of("desk")
     counts = dict.fromkeys(shares, 0)
@@ -52,25 +50,22 @@
     return max(counts.values()) / mean(counts.values())
 
 
-def test_no_share_gets_much_more_than_its_part_of_a_turn() -> None:
-    layout = lay_out()
+def test_no_share_gets_much_more_than_the_mean_at_a_demand_peak() -> None:
+    layout = make_layout()
     worst = mean(fullest_over_mean(layout, seed=seed) for seed in range(40))
     assert worst < MOST_OVER_MEAN
 
 
-def test_smaller_shares_would(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With a dozen machines a share, the fullest got half as much again as the mean.
-
-    It was late with its jobs for the whole of the turn while its siblings idled.
-    """
+def test_smaller_shares_fill_too_unevenly(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards the choice of the share's size: the fullest of smaller shares would be too late."""
     monkeypatch.setattr(partitions, "WORKERS_A_SHARE", 12)
-    worst = mean(fullest_over_mean(lay_out(), seed=seed) for seed in range(40))
+    worst = mean(fullest_over_mean(make_layout(), seed=seed) for seed in range(40))
     assert worst > MOST_OVER_MEAN
 
 
-def test_every_share_can_get_more_machines_than_its_part_of_a_turn_needs() -> None:
-    """A turn may ask for half of all machines, and each share for a third of these."""
-    layout = lay_out()
+def test_every_share_can_get_enough_machines_for_a_demand_peak() -> None:
+    """A demand peak may need half of all machines, and each share a third of these."""
+    layout = make_layout()
     for service in SERVICES:
         for partition in layout.partitions_of(service):
             found = [
