--- a/heatherkeel/ownership/member.py
+++ b/heatherkeel/ownership/member.py
@@ -178,7 +178,7 @@
         event = "store_regained" if connected else "store_lost"
         _LOGGER.log(
             logging.INFO if connected else logging.WARNING,
-            "membership renewals %s",
+            "renewals of the membership %s",
             "succeed again" if connected else "fail",
             extra={"event": event, "detail": detail},
         )
