--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -12,7 +12,7 @@
 from heatherkeel.directory.follower import TopicFollower, async_read_whole
 from heatherkeel.helpers.clock import monotonic_ms, wall_ms
 from heatherkeel.ownership.const import JOBS_TOPIC, WORK_TOPIC
-from heatherkeel.ownership.tenure import Tenure
+from heatherkeel.ownership.partition_ownership import PartitionOwnership
 from heatherkeel.platform.framing import KeyedRecord
 from heatherkeel.platform.operator import WorkerEntry
 from heatherkeel.platform.settings import InstanceSettings
@@ -70,7 +70,7 @@
         settings: InstanceSettings,
         store: StoreClient,
         directory: Directory,
-        tenure: Tenure,
+        ownership: PartitionOwnership,
         metrics: DispatchMetrics,
         on_fenced: Callable[[], None],
     ) -> None:
@@ -78,7 +78,7 @@
         self.settings = settings
         self.store = store
         self.directory = directory
-        self.tenure = tenure
+        self.ownership = ownership
         self.metrics = metrics
         self.on_fenced = on_fenced
         self.state = PartitionState(
@@ -133,7 +133,7 @@
         Leases are renewed for as long only: the next owner counts on that. They outlast the
         membership by some seconds, so that usual outages of the store end no task.
         """
-        return self.tenure.is_valid(monotonic_ms())
+        return self.ownership.is_valid(monotonic_ms())
 
     def is_current(self) -> bool:
         """Say whether what isn't known here isn't stored either, but for the last moments.
--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -23,9 +23,9 @@
 from heatherkeel.ownership.holders import Holders
 from heatherkeel.ownership.isolation import IsolationWatch
 from heatherkeel.ownership.member import GroupMember
+from heatherkeel.ownership.partition_ownership import Change
 from heatherkeel.ownership.partitions import Layout, fleet_partition
 from heatherkeel.ownership.reserve import ReserveWatch
-from heatherkeel.ownership.tenure import Change
 from heatherkeel.platform.settings import InstanceSettings
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.pooling.keeper import FleetKeeper
@@ -226,7 +226,7 @@
             settings=self.settings,
             store=self.store,
             directory=self.directory,
-            tenure=self.member.tenure,
+            ownership=self.member.ownership,
             metrics=self.dispatch_metrics,
             on_fenced=self.member.rejoin,
         )
--- a/heatherkeel/ownership/member.py
+++ b/heatherkeel/ownership/member.py
@@ -13,7 +13,7 @@
 from heatherkeel.platform.store import StoreClient
 
 from .const import GROUP, RENEW_INTERVAL_MS, RETRY_INTERVAL_MS, TTL_MS, WORK_TOPIC
-from .tenure import Change, Tenure
+from .partition_ownership import Change, PartitionOwnership
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -57,7 +57,7 @@
         self.capacity = capacity
         """The processor of this process, in thousandths of a core."""
         self.on_change = on_change
-        self.tenure = Tenure(topic=WORK_TOPIC)
+        self.ownership = PartitionOwnership(topic=WORK_TOPIC)
         self.leave_count = 0
         """How often this process has left; part of its name, so that the platform sees a new
         member and raises the generation."""
@@ -89,17 +89,17 @@
     async def close(self) -> None:
         """Give up all partitions and leave the group, so that others take over at once."""
         self.closing = True
-        await self.on_change(self.tenure.release_all())
+        await self.on_change(self.ownership.release_all())
         await self._async_leave()
 
     def may_order(self) -> bool:
         """Return whether this process may still issue orders for its partitions."""
-        return not self.closing and self.tenure.is_valid(monotonic_ms())
+        return not self.closing and self.ownership.is_valid(monotonic_ms())
 
     async def async_pause(self, reason: ExclusionReason) -> None:
         """Give up all partitions, and stay out of the group until `resume`."""
         self.excluded_for.add(reason)
-        await self.on_change(self.tenure.release_all())
+        await self.on_change(self.ownership.release_all())
         await self._async_leave()
         self.leave_count += 1
 
@@ -123,7 +123,7 @@
                 await self.fenced.wait()
             if self.fenced.is_set() and not self.closing:
                 self.fenced = trio.Event()
-                await self.on_change(self.tenure.release_all())
+                await self.on_change(self.ownership.release_all())
                 await self._async_leave()
                 self.leave_count += 1
 
@@ -136,7 +136,7 @@
             member=name,
             topics=[WORK_TOPIC],
             ttl_ms=TTL_MS,
-            generation=self.tenure.generation,
+            generation=self.ownership.generation,
         )
         if self.closing or self.is_paused or name != self.name:
             # The process has left meanwhile; the platform may have handled the leave first.
@@ -146,14 +146,16 @@
             return RETRY_INTERVAL_MS
         self.answered_ms = monotonic_ms()
         self._update_connected(True, "")
-        change = self.tenure.apply_renewal(joined.ok_value, sent_ms=sent_ms, now_ms=monotonic_ms())
+        change = self.ownership.apply_renewal(
+            joined.ok_value, sent_ms=sent_ms, now_ms=monotonic_ms()
+        )
         if not change.lost and not change.gained:
             return RENEW_INTERVAL_MS
         _LOGGER.info(
             "partition ownership changed",
             extra={
                 "event": "ownership",
-                "generation": self.tenure.generation,
+                "generation": self.ownership.generation,
                 "lost": sorted(change.lost),
                 "gained": sorted(change.gained),
             },
--- a/heatherkeel/ownership/tenure.py
+++ b/heatherkeel/ownership/partition_ownership.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Tenure:
+class PartitionOwnership:
     """The partitions that this process owns, each with its fencing token.
 
     The token is the group's generation when the partition was gained. The platform raises the
--- a/tests/ownership/test_isolation.py
+++ b/tests/ownership/test_isolation.py
@@ -18,7 +18,7 @@
 from heatherkeel.ownership.holders import Holders
 from heatherkeel.ownership.isolation import IsolationWatch
 from heatherkeel.ownership.member import ExclusionReason, GroupMember
-from heatherkeel.ownership.tenure import Change
+from heatherkeel.ownership.partition_ownership import Change
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.platform.store_answers import PartitionHolder, Share
 
--- a/tests/ownership/test_reserve.py
+++ b/tests/ownership/test_reserve.py
@@ -18,8 +18,8 @@
     format_member_name,
     parse_member_name,
 )
+from heatherkeel.ownership.partition_ownership import Change
 from heatherkeel.ownership.reserve import ReserveWatch
-from heatherkeel.ownership.tenure import Change
 from heatherkeel.platform.errors import CallError, Failure
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.platform.store_answers import PartitionHolder
