--- a/heatherkeel/ownership/partition_ownership.py
+++ b/heatherkeel/ownership/partition_ownership.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from heatherkeel.platform.store_answers import Share
+from heatherkeel.platform.store_answers import GroupAssignment
 
 from .const import TTL_MS
 
@@ -23,7 +23,7 @@
 
     The token is the group's generation when the partition was gained. The platform raises the
     generation with each change and assigns a partition to one member in each, so no two owners
-    share a token and a later owner has the higher one, also after a restart of everything.
+    assignment a token and a later owner has the higher one, also after a restart of everything.
     """
 
     topic: str
@@ -35,20 +35,20 @@
         """Return whether no other process can own the partitions yet."""
         return now_ms < self.valid_until_ms
 
-    def apply_renewal(self, share: Share, *, sent_ms: int, now_ms: int) -> Change:
+    def apply_renewal(self, assignment: GroupAssignment, *, sent_ms: int, now_ms: int) -> Change:
         """Apply the answer to a renewal that was sent at `sent_ms`.
 
         If the membership expired before the answer and the generation has changed, others may
         have owned the partitions in between, so all of them are lost and gained anew.
         """
         was_valid = self.is_valid(now_ms)
-        is_new_generation = share.generation != self.generation
-        held = share.partitions.get(self.topic, set())
+        is_new_generation = assignment.generation != self.generation
+        held = assignment.partitions.get(self.topic, set())
         kept = set() if is_new_generation and not was_valid else self.tokens.keys() & held
         lost = frozenset(self.tokens.keys() - kept)
-        gained = dict.fromkeys(held - kept, share.generation)
+        gained = dict.fromkeys(held - kept, assignment.generation)
         self.tokens = {number: self.tokens[number] for number in kept} | gained
-        self.generation = share.generation
+        self.generation = assignment.generation
         self.valid_until_ms = sent_ms + TTL_MS
         return Change(lost=lost, gained=gained)
 
--- a/heatherkeel/platform/store.py
+++ b/heatherkeel/platform/store.py
@@ -16,12 +16,12 @@
 from .patience import Patience
 from .route import DirectRoute, StoreCall, StoreRoute
 from .store_answers import (
+    GroupAssignment,
     Joined,
     NewestPage,
     NewestRecords,
     PartitionHolder,
     ReadRecords,
-    Share,
     check,
     decode,
     decode_holders,
@@ -206,7 +206,7 @@
 
     async def async_join(
         self, *, group: str, member: str, topics: list[str], ttl_ms: int, generation: int
-    ) -> Result[Share, CallError]:
+    ) -> Result[GroupAssignment, CallError]:
         """Join a group, or stay in it for another `ttl_ms`."""
         body = msgspec.json.encode(
             {
@@ -229,7 +229,7 @@
         partitions: dict[str, set[int]] = {}
         for topic, partition, _ in decoded.ok_value.parts:
             partitions.setdefault(topic, set()).add(partition)
-        return Ok(Share(generation=decoded.ok_value.generation, partitions=partitions))
+        return Ok(GroupAssignment(generation=decoded.ok_value.generation, partitions=partitions))
 
     async def async_leave(self, *, group: str, member: str) -> Result[None, CallError]:
         """Leave a group, so that its partitions go to other members at once."""
--- a/heatherkeel/platform/store_answers.py
+++ b/heatherkeel/platform/store_answers.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Share:
+class GroupAssignment:
     """What a member holds: its partitions by topic, under a generation that only rises."""
 
     generation: int
--- a/tests/ownership/test_isolation.py
+++ b/tests/ownership/test_isolation.py
@@ -20,7 +20,7 @@
 from heatherkeel.ownership.member import ExclusionReason, GroupMember
 from heatherkeel.ownership.partition_ownership import Change
 from heatherkeel.platform.store import StoreClient
-from heatherkeel.platform.store_answers import PartitionHolder, Share
+from heatherkeel.platform.store_answers import GroupAssignment, PartitionHolder
 
 
 class FakeStore(StoreClient):
@@ -32,9 +32,9 @@
         """Until when the others are listed, on the monotonic clock."""
         self.left = 0
 
-    async def async_join(self, **_: object) -> Ok[Share]:
+    async def async_join(self, **_: object) -> Ok[GroupAssignment]:
         """Assign one partition."""
-        return Ok(Share(generation=3, partitions={WORK_TOPIC: {1}}))
+        return Ok(GroupAssignment(generation=3, partitions={WORK_TOPIC: {1}}))
 
     async def async_leave(self, **_: object) -> Ok[None]:
         """Count the call."""
--- a/tests/ownership/test_partition_ownership.py
+++ b/tests/ownership/test_partition_ownership.py
@@ -4,12 +4,12 @@
 
 from heatherkeel.ownership.const import TTL_MS, WORK_TOPIC
 from heatherkeel.ownership.partition_ownership import PartitionOwnership
-from heatherkeel.platform.store_answers import Share
+from heatherkeel.platform.store_answers import GroupAssignment
 
 
-def assignment(generation: int, *partitions: int) -> Share:
+def assignment(generation: int, *partitions: int) -> GroupAssignment:
     """Return what the platform assigns to this process."""
-    return Share(generation=generation, partitions={WORK_TOPIC: set(partitions)})
+    return GroupAssignment(generation=generation, partitions={WORK_TOPIC: set(partitions)})
 
 
 def test_partition_is_gained_with_the_generation_that_assigned_it() -> None:
