--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -23,7 +23,7 @@
 from heatherkeel.ownership.holders import Holders
 from heatherkeel.ownership.isolation import IsolationWatch
 from heatherkeel.ownership.member import GroupMember
-from heatherkeel.ownership.partition_ownership import Change
+from heatherkeel.ownership.partition_ownership import OwnershipChange
 from heatherkeel.ownership.partitions import Layout, fleet_partition
 from heatherkeel.ownership.reserve import ReserveWatch
 from heatherkeel.platform.settings import InstanceSettings
@@ -185,7 +185,7 @@
         question = QueueAsked(partition=-1, queue="")
         return await self.links.async_ask(address, question) is not None
 
-    async def _async_change(self, change: Change) -> None:
+    async def _async_change(self, change: OwnershipChange) -> None:
         """Close what was lost before anything else, and begin with what was gained."""
         fleet = fleet_partition(self.settings.store.partitions)
         for partition in change.lost:
--- a/heatherkeel/ownership/member.py
+++ b/heatherkeel/ownership/member.py
@@ -13,7 +13,7 @@
 from heatherkeel.platform.store import StoreClient
 
 from .const import GROUP, RENEW_INTERVAL_MS, RETRY_INTERVAL_MS, TTL_MS, WORK_TOPIC
-from .partition_ownership import Change, PartitionOwnership
+from .partition_ownership import OwnershipChange, PartitionOwnership
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -49,7 +49,7 @@
         address: str,
         incarnation: str,
         capacity: int = 0,
-        on_change: Callable[[Change], Awaitable[None]],
+        on_change: Callable[[OwnershipChange], Awaitable[None]],
     ) -> None:
         self.store = store
         self.address = address
--- a/heatherkeel/ownership/partition_ownership.py
+++ b/heatherkeel/ownership/partition_ownership.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Change:
+class OwnershipChange:
     """Partitions that were lost, and those that were gained with their fencing tokens."""
 
     lost: frozenset[int] = frozenset()
@@ -35,7 +35,9 @@
         """Return whether no other process can own the partitions yet."""
         return now_ms < self.valid_until_ms
 
-    def apply_renewal(self, assignment: GroupAssignment, *, sent_ms: int, now_ms: int) -> Change:
+    def apply_renewal(
+        self, assignment: GroupAssignment, *, sent_ms: int, now_ms: int
+    ) -> OwnershipChange:
         """Apply the answer to a renewal that was sent at `sent_ms`.
 
         If the membership expired before the answer and the generation has changed, others may
@@ -50,12 +52,12 @@
         self.tokens = {number: self.tokens[number] for number in kept} | gained
         self.generation = assignment.generation
         self.valid_until_ms = sent_ms + TTL_MS
-        return Change(lost=lost, gained=gained)
+        return OwnershipChange(lost=lost, gained=gained)
 
-    def release_all(self) -> Change:
+    def release_all(self) -> OwnershipChange:
         """Give up all partitions, as at a stop or after another process has fenced this one."""
         lost = frozenset(self.tokens)
         self.tokens = {}
         self.generation = 0
         self.valid_until_ms = 0
-        return Change(lost=lost)
+        return OwnershipChange(lost=lost)
--- a/tests/ownership/test_isolation.py
+++ b/tests/ownership/test_isolation.py
@@ -18,7 +18,7 @@
 from heatherkeel.ownership.holders import Holders
 from heatherkeel.ownership.isolation import IsolationWatch
 from heatherkeel.ownership.member import ExclusionReason, GroupMember
-from heatherkeel.ownership.partition_ownership import Change
+from heatherkeel.ownership.partition_ownership import OwnershipChange
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.platform.store_answers import GroupAssignment, PartitionHolder
 
@@ -57,7 +57,7 @@
 
     def __init__(self, *, others: int) -> None:
         self.store = FakeStore(others=others)
-        self.changes: list[Change] = []
+        self.changes: list[OwnershipChange] = []
         self.is_reachable = False
         self.member = GroupMember(
             store=self.store, address="10.0.0.99:1", incarnation="a", on_change=self.async_change
@@ -68,7 +68,7 @@
             async_reach=self.async_reach,
         )
 
-    async def async_change(self, change: Change) -> None:
+    async def async_change(self, change: OwnershipChange) -> None:
         """Record a change."""
         self.changes.append(change)
 
--- a/tests/ownership/test_reserve.py
+++ b/tests/ownership/test_reserve.py
@@ -18,7 +18,7 @@
     format_member_name,
     parse_member_name,
 )
-from heatherkeel.ownership.partition_ownership import Change
+from heatherkeel.ownership.partition_ownership import OwnershipChange
 from heatherkeel.ownership.reserve import ReserveWatch
 from heatherkeel.platform.errors import CallError, Failure
 from heatherkeel.platform.store import StoreClient
@@ -73,7 +73,7 @@
             partitions=PARTITIONS,
         )
 
-    async def async_change(self, change: Change) -> None:
+    async def async_change(self, change: OwnershipChange) -> None:
         """Ignore a change."""
 
     def run_for(self, s: float) -> None:
