--- a/heatherkeel/ownership/partition_ownership.py
+++ b/heatherkeel/ownership/partition_ownership.py
@@ -23,7 +23,7 @@
 
     The token is the group's generation when the partition was gained. The platform raises the
     generation with each change and assigns a partition to one member in each, so no two owners
-    assignment a token and a later owner has the higher one, also after a restart of everything.
+    have the same token and a later owner has the higher one, also after a restart of everything.
     """
 
     topic: str
--- a/heatherkeel/platform/store_answers.py
+++ b/heatherkeel/platform/store_answers.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GroupAssignment:
-    """What a member holds: its partitions by topic, under a generation that only rises."""
+    """A member's partitions by topic, and the generation of the group, which only rises."""
 
     generation: int
     partitions: dict[str, set[int]]
