--- a/heatherkeel/gateway/lookup.py
+++ b/heatherkeel/gateway/lookup.py
@@ -102,7 +102,7 @@
         """Ask the owner; one that fails, or that isn't the owner any more, is looked up anew."""
         failed = ""
         for _ in range(2):
-            address = await self.holders.async_find(partition, but_not=failed)
+            address = await self.holders.async_find(partition, failed_address=failed)
             if not address or address == failed:
                 return None
             answer = await self.links.async_ask(address, question)
--- a/heatherkeel/ownership/holders.py
+++ b/heatherkeel/ownership/holders.py
@@ -31,15 +31,15 @@
         """When the list was last read, successfully or not."""
         self.lock = trio.Lock()
 
-    async def async_find(self, partition: int, *, but_not: str = "") -> str:
+    async def async_find(self, partition: int, *, failed_address: str = "") -> str:
         """Return the address of a partition's owner; empty if none is known.
 
-        `but_not` is an address that has just failed: if the list still names it, the list is
+        `failed_address` is an address that has just failed: if the list still names it, the list is
         read again.
         """
         address = self.addresses.get(partition, "")
         age_ms = monotonic_ms() - self.read_ms
-        is_wrong = not address or address == but_not
+        is_wrong = not address or address == failed_address
         if age_ms > HOLDERS_MAX_AGE_MS or (is_wrong and age_ms > HOLDERS_MIN_AGE_MS):
             await self._async_read()
         return self.addresses.get(partition, "")
--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -230,7 +230,7 @@
                 PoolsMeasured(now_ms=monotonic_ms(), partition=partition, loads=answer.pools)
             )
         else:
-            await self.holders.async_find(partition, but_not=address)
+            await self.holders.async_find(partition, failed_address=address)
 
     def _take(self, event: FleetEvent) -> None:
         for effect in reduce_fleet(self.state, event):
--- a/tests/gateway/test_lookup.py
+++ b/tests/gateway/test_lookup.py
@@ -32,7 +32,7 @@
 class FakeHolders(Holders):
     """Every partition has an owner, at an address with its number."""
 
-    async def async_find(self, partition: int, *, but_not: str = "") -> str:
+    async def async_find(self, partition: int, *, failed_address: str = "") -> str:
         """Return the owner's address."""
         return f"owner-{partition}"
 
