--- a/heatherkeel/gateway/lookup.py
+++ b/heatherkeel/gateway/lookup.py
@@ -12,7 +12,7 @@
 from heatherkeel.dispatch.recovery import StoredJobs, read_records
 from heatherkeel.helpers.clock import monotonic_ms
 from heatherkeel.ownership.const import JOBS_TOPIC, WORK_TOPIC
-from heatherkeel.ownership.holders import Holders
+from heatherkeel.ownership.holders import HolderCache
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.questions.links import QuestionLinks
 from heatherkeel.questions.messages import (
@@ -41,7 +41,7 @@
     """Asks owners, and the store in their place; remembers what this front has accepted."""
 
     store: StoreClient
-    holders: Holders
+    holders: HolderCache
     links: QuestionLinks
     recent: dict[str, int] = field(default_factory=dict)
     readings: dict[int, StoredReading] = field(default_factory=dict)
--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -20,7 +20,7 @@
 from heatherkeel.gateway.metrics import GatewayMetrics
 from heatherkeel.helpers.server import HttpServer
 from heatherkeel.helpers.signals import StopSignal
-from heatherkeel.ownership.holders import Holders
+from heatherkeel.ownership.holders import HolderCache
 from heatherkeel.ownership.isolation import IsolationWatch
 from heatherkeel.ownership.member import GroupMember
 from heatherkeel.ownership.partition_ownership import OwnershipChange
@@ -69,7 +69,7 @@
         self.store = StoreClient(address=settings.store.address, route=route)
         self.relay = StoreRelay(store=self.store, metrics=relay_metrics)
         self.directory = Directory(store=self.store)
-        self.holders = Holders(store=self.store)
+        self.holders = HolderCache(store=self.store)
         self.owners: dict[int, PartitionOwner] = {}
         self.unused: dict[int, int] = {}
         """Partitions that were gained and that no service has, with their tokens."""
--- a/heatherkeel/ownership/holders.py
+++ b/heatherkeel/ownership/holders.py
@@ -16,7 +16,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class Holders:
+class HolderCache:
     """Caches the list of partition holders; reads it again when it is old or found wrong."""
 
     def __init__(self, *, store: StoreClient) -> None:
--- a/heatherkeel/ownership/isolation.py
+++ b/heatherkeel/ownership/isolation.py
@@ -10,7 +10,7 @@
 from heatherkeel.helpers.clock import monotonic_ms
 
 from .const import ISOLATED_AFTER_MS, MAX_PEERS_PER_CHECK, PEER_CHECK_INTERVAL_MS
-from .holders import Holders
+from .holders import HolderCache
 from .member import ExclusionReason, GroupMember
 
 _LOGGER = logging.getLogger(__name__)
@@ -28,7 +28,7 @@
         self,
         *,
         member: GroupMember,
-        holders: Holders,
+        holders: HolderCache,
         async_reach: Callable[[str], Awaitable[bool]],
     ) -> None:
         self.member = member
--- a/heatherkeel/ownership/reserve.py
+++ b/heatherkeel/ownership/reserve.py
@@ -16,7 +16,7 @@
     STAND_BACK_AFTER_MS,
     STEP_IN_AFTER_MS,
 )
-from .holders import Holders
+from .holders import HolderCache
 from .member import ExclusionReason, GroupMember
 
 _LOGGER = logging.getLogger(__name__)
@@ -30,7 +30,7 @@
     """
 
     def __init__(
-        self, *, member: GroupMember, holders: Holders, capacity: int, partitions: int
+        self, *, member: GroupMember, holders: HolderCache, capacity: int, partitions: int
     ) -> None:
         self.member = member
         self.holders = holders
--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -14,7 +14,7 @@
 from heatherkeel.dispatch.journal import Journal
 from heatherkeel.helpers.clock import monotonic_ms, wall_ms
 from heatherkeel.ownership.const import LAYOUT_KEY, WORK_TOPIC
-from heatherkeel.ownership.holders import Holders
+from heatherkeel.ownership.holders import HolderCache
 from heatherkeel.ownership.partitions import Layout, extend_layout, fleet_partition
 from heatherkeel.platform.const import STATUS_TOPIC
 from heatherkeel.platform.framing import KeyedRecord
@@ -63,7 +63,7 @@
         settings: InstanceSettings,
         store: StoreClient,
         directory: Directory,
-        holders: Holders,
+        holders: HolderCache,
         links: QuestionLinks,
         may_order: Callable[[], bool],
         on_fenced: Callable[[], None],
--- a/tests/gateway/calling.py
+++ b/tests/gateway/calling.py
@@ -14,7 +14,7 @@
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.questions.links import QuestionLinks
 
-from .test_lookup import FakeHolders
+from .test_lookup import FakeHolderCache
 
 QUEUE = Queue(name="quotes", host="a.example", path_prefix="/q/", service="portal")
 JOB_PATH = "/q/00000000000000aa"
@@ -27,7 +27,7 @@
         directory=DirectoryState(
             config=Configuration(version=1, queues=[QUEUE]), layout=Layout(shares={"portal": (0,)})
         ),
-        lookup=Lookup(store=store, holders=FakeHolders(store=store), links=links),
+        lookup=Lookup(store=store, holders=FakeHolderCache(store=store), links=links),
         metrics=GatewayMetrics(),
         takes_callers=lambda: takes_callers,
     )
--- a/tests/gateway/test_lookup.py
+++ b/tests/gateway/test_lookup.py
@@ -6,7 +6,7 @@
 from result import Err, Ok, Result
 
 from heatherkeel.gateway.lookup import Lookup
-from heatherkeel.ownership.holders import Holders
+from heatherkeel.ownership.holders import HolderCache
 from heatherkeel.platform.errors import CallError, Failure
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.platform.store_answers import NewestRecords
@@ -29,7 +29,7 @@
         return Ok(NewestRecords(end=0, records=[], has_more=False))
 
 
-class FakeHolders(Holders):
+class FakeHolderCache(HolderCache):
     """Every partition has an owner, at an address with its number."""
 
     async def async_find(self, partition: int, *, failed_address: str = "") -> str:
@@ -54,7 +54,7 @@
 def count(pending: dict[int, int], *, down: set[int] | None = None) -> int | None:
     """Ask for the length of a queue with three partitions."""
     store = FakeStore(down=down or set())
-    lookup = Lookup(store=store, holders=FakeHolders(store=store), links=FakeLinks(pending))
+    lookup = Lookup(store=store, holders=FakeHolderCache(store=store), links=FakeLinks(pending))
     return trio.run(lookup.async_count_pending, (0, 1, 2), "quotes")
 
 
--- a/tests/ownership/test_isolation.py
+++ b/tests/ownership/test_isolation.py
@@ -15,7 +15,7 @@
     TTL_MS,
     WORK_TOPIC,
 )
-from heatherkeel.ownership.holders import Holders
+from heatherkeel.ownership.holders import HolderCache
 from heatherkeel.ownership.isolation import IsolationWatch
 from heatherkeel.ownership.member import ExclusionReason, GroupMember
 from heatherkeel.ownership.partition_ownership import OwnershipChange
@@ -64,7 +64,7 @@
         )
         self.watch = IsolationWatch(
             member=self.member,
-            holders=Holders(store=self.store),
+            holders=HolderCache(store=self.store),
             async_reach=self.async_reach,
         )
 
--- a/tests/ownership/test_reserve.py
+++ b/tests/ownership/test_reserve.py
@@ -11,7 +11,7 @@
 
 from heatherkeel.ownership import reserve
 from heatherkeel.ownership.const import MIN_OWNER_CAPACITY, RESERVE_CHECK_MS, WORK_TOPIC
-from heatherkeel.ownership.holders import Holders
+from heatherkeel.ownership.holders import HolderCache
 from heatherkeel.ownership.member import (
     ExclusionReason,
     GroupMember,
@@ -68,7 +68,7 @@
         )
         self.watch = ReserveWatch(
             member=self.member,
-            holders=Holders(store=self.store),
+            holders=HolderCache(store=self.store),
             capacity=capacity,
             partitions=PARTITIONS,
         )
