--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -243,7 +243,7 @@
             directory=self.directory,
             holders=self.holders,
             links=self.links,
-            may_order=self.member.may_order,
+            may_order=self.member.can_issue_orders,
             on_fenced=self.member.rejoin,
         )
         self.nursery.start_soon(self.keeper.async_run)
--- a/heatherkeel/ownership/isolation.py
+++ b/heatherkeel/ownership/isolation.py
@@ -44,7 +44,10 @@
         """Check until cancelled."""
         while True:
             await trio.sleep(PEER_CHECK_INTERVAL_MS / 1000)
-            if self.member.may_order() or ExclusionReason.ISOLATED in self.member.excluded_for:
+            if (
+                self.member.can_issue_orders()
+                or ExclusionReason.ISOLATED in self.member.excluded_for
+            ):
                 await self._async_check()
 
     async def _async_check(self) -> None:
--- a/heatherkeel/ownership/member.py
+++ b/heatherkeel/ownership/member.py
@@ -92,7 +92,7 @@
         await self.on_change(self.ownership.release_all())
         await self._async_leave()
 
-    def may_order(self) -> bool:
+    def can_issue_orders(self) -> bool:
         """Return whether this process may still issue orders for its partitions."""
         return not self.closing and self.ownership.is_valid(monotonic_ms())
 
--- a/tests/instance/test_turned_away.py
+++ b/tests/instance/test_turned_away.py
@@ -41,7 +41,7 @@
             assert await site.async_submit(process, JOB, "work 50") == 200
             await site.async_wait_state(process, JOB, "complete")
             await trio.sleep(2.5)
-            assert process.member.may_order()
+            assert process.member.can_issue_orders()
             assert process.status.is_ready()
             assert len(site.starts(JOB)) == 2
 
