--- a/heatherkeel/directory/__init__.py
+++ b/heatherkeel/directory/__init__.py
@@ -1,1 +1,1 @@
-"""What the operator and the workers have written: configuration, waves, workers' entries."""
+"""Records published by the operator and the workers: configuration, waves, workers' entries."""
--- a/heatherkeel/directory/directory.py
+++ b/heatherkeel/directory/directory.py
@@ -1,4 +1,4 @@
-"""The newest configuration, the waves, and the workers' entries, as this process knows them."""
+"""Keeps the current configuration, the waves and the workers' entries."""
 
 from __future__ import annotations
 
@@ -31,40 +31,39 @@
 _LOGGER = logging.getLogger(__name__)
 
 CONFIG_WAIT_MS: Final = 800
-"""How long one reading waits for a change, in milliseconds. A connection that has gone silent
-is noticed with the reading that meets it; with the reading's own timeout that is within 4 s.
+"""Time that one read waits for a change, in milliseconds.
 
-The answers also tell a process that owns nothing that it reaches the store: it takes no callers
-after 1,200 ms without any, and a slow store answers some hundreds of milliseconds late.
+The answers also show that this process reaches the store; it refuses callers if none arrives in
+time, so the wait is shorter than that limit.
 """
 WORKERS_WAIT_MS: Final = 1000
+"""Time that one read of the workers' entries waits for a change, in milliseconds."""
 WORKERS_PAUSE_MS: Final = 250
-"""Pause between two readings of the workers' entries, in milliseconds. Thirty workers write
-twenty times a second; read one by one they would cost most of all calls to the store."""
+"""Pause between reads of the workers' entries, in milliseconds; batches frequent heartbeats."""
 
 
 @dataclass(kw_only=True, slots=True)
 class DirectoryState:
-    """What was read last."""
+    """The records that were read last."""
 
     config: Configuration | None = None
     queues: dict[str, Queue] = field(default_factory=dict)
-    """Every queue ever configured: accepted jobs go on when their queue is removed."""
+    """Every queue ever configured, since accepted jobs continue after its removal."""
     services: dict[str, Service] = field(default_factory=dict)
     waves: dict[int, Wave] = field(default_factory=dict)
     workers: dict[str, WorkerEntry] = field(default_factory=dict)
     heard_ms: dict[str, int] = field(default_factory=dict)
-    """When each worker's entry was read last, on the steady clock."""
+    """When each worker's entry was last received, on the monotonic clock."""
     layout: Layout = field(default_factory=Layout)
-    """How services are shared out among partitions; empty until the fleet's owner has told."""
+    """Assignment of services to partitions; empty until it is known."""
 
     def serving(self) -> set[str]:
-        """Return the services whose machines run jobs."""
+        """Return the names of the services whose machines run jobs."""
         return {name for name, service in self.services.items() if not service.is_standby}
 
 
 class Directory:
-    """Follows the operator's and the workers' topics, and tells subscribers of changes."""
+    """Follows the operator's and the workers' topics, and notifies subscribers of changes."""
 
     def __init__(self, *, store: StoreClient) -> None:
         self.state = DirectoryState()
@@ -72,34 +71,34 @@
         self.nursery: trio.Nursery | None = None
         self.follows_workers = False
         self.unreadable: dict[str, str] = {}
-        """Keys of workers' entries that can't be read, and why; bounded by the topic's keys."""
+        """Errors of workers' entries that can't be decoded, by key."""
         self.operator = TopicFollower(
             store=store,
             topic=CONFIG_TOPIC,
             partition=0,
-            take=self._take_operator,
-            keep_only=self._keep_waves,
+            take=self._apply_operator_records,
+            keep_only=self._retain_operator_keys,
             wait_ms=CONFIG_WAIT_MS,
         )
         self.workers = TopicFollower(
             store=store,
             topic=WORKERS_TOPIC,
             partition=0,
-            take=self._take_workers,
-            keep_only=self._keep_workers,
+            take=self._apply_worker_records,
+            keep_only=self._retain_workers,
             wait_ms=WORKERS_WAIT_MS,
             pause_ms=WORKERS_PAUSE_MS,
         )
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin to follow what the operator writes."""
+        """Start following the operator's topic."""
         self.nursery = nursery
         nursery.start_soon(self.operator.async_run)
 
     def follow_workers(self) -> None:
-        """Begin to follow the workers' entries; only who owns a partition needs them.
+        """Start following the workers' entries, if it hasn't been started.
 
-        They are most of what there is to read: 150 workers write a hundred times a second.
+        Only owners of partitions need these entries, which are most of the records in the store.
         """
         if self.nursery is not None and not self.follows_workers:
             self.follows_workers = True
@@ -110,48 +109,48 @@
         self.subscribers.append(callback)
 
     def unsubscribe(self, callback: Callable[[], None]) -> None:
-        """Call `callback` no more."""
+        """Stop calling `callback`."""
         self.subscribers.remove(callback)
 
     def take_layout(self, layout: Layout) -> None:
-        """Take in a layout that is stored; one that names less than the known one is older."""
+        """Use a stored layout, unless it names no more services than the known one."""
         if len(layout.shares) <= len(self.state.layout.shares):
             return
         self.state.layout = layout
         _LOGGER.info(
-            "layout known",
+            "layout updated",
             extra={
                 "event": "layout",
                 "shares": {name: list(parts) for name, parts in layout.shares.items()},
                 "machines": len(layout.places),
             },
         )
-        self._tell()
+        self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         for callback in list(self.subscribers):
             callback()
 
-    def _take_operator(self, records: list[KeyedRecord]) -> None:
+    def _apply_operator_records(self, records: list[KeyedRecord]) -> None:
         for record in records:
             if record.key == CONFIG_KEY:
-                self._take_configuration(record)
+                self._apply_configuration(record)
             elif record.key.startswith(WAVE_PREFIX):
-                self._take_wave(record)
-        self._tell()
+                self._apply_wave(record)
+        self._notify()
 
-    def _take_configuration(self, record: KeyedRecord) -> None:
+    def _apply_configuration(self, record: KeyedRecord) -> None:
         decoded = decode_configuration(record.value)
         if isinstance(decoded, Err):
             _LOGGER.error(
-                "the configuration can't be read; the last one stays in force",
+                "cannot decode the configuration; the previous version stays in force",
                 extra={"event": "config_unreadable", "detail": decoded.err_value},
             )
             return
         config = decoded.ok_value
         known = self.state.config
-        # A late answer on an old connection, or a store that reads behind, must not take back
-        # what callers have already seen in force.
+        # A late answer or a stale replica of the store must not revert a configuration that
+        # callers have already seen in force.
         if known is not None and config.version <= known.version:
             return
         self.state.config = config
@@ -167,34 +166,33 @@
             },
         )
 
-    def _take_wave(self, record: KeyedRecord) -> None:
+    def _apply_wave(self, record: KeyedRecord) -> None:
         if not record.value:
             return
         decoded = decode_wave(record.value)
         if isinstance(decoded, Err):
             _LOGGER.error(
-                "a wave can't be read",
+                "cannot decode a wave",
                 extra={"event": "wave_unreadable", "key": record.key, "detail": decoded.err_value},
             )
             return
         wave = decoded.ok_value
         self.state.waves[wave.number] = wave
 
-    def _keep_waves(self, keys: set[str]) -> None:
-        """Waves and the configuration are never taken back, so nothing is dropped here."""
+    def _retain_operator_keys(self, keys: set[str]) -> None:
+        """Drop nothing, since the operator never deletes waves or the configuration."""
 
-    def _take_workers(self, records: list[KeyedRecord]) -> None:
-        """Take in workers' entries; heartbeats that say the same again are told to nobody.
+    def _apply_worker_records(self, records: list[KeyedRecord]) -> None:
+        """Apply workers' entries; notify subscribers only if one has changed.
 
-        Some hundred workers write two hundred times a second, and each owner would compare all of
-        them for each reading.
+        Otherwise each owner would compare all workers' entries after each heartbeat.
         """
-        changes = [self._take_worker(record) for record in records]
+        changes = [self._apply_worker_record(record) for record in records]
         if any(changes):
-            self._tell()
+            self._notify()
 
-    def _take_worker(self, record: KeyedRecord) -> bool:
-        """Take in one worker's entry; says whether it tells anything new."""
+    def _apply_worker_record(self, record: KeyedRecord) -> bool:
+        """Apply one worker's entry; return whether it changes anything."""
         known = self.state.workers.get(record.key)
         if not record.value:
             self.state.workers.pop(record.key, None)
@@ -203,17 +201,17 @@
             return known is not None
         decoded = decode_worker(record.value)
         if isinstance(decoded, Err):
-            self._leave_out(record.key, decoded.err_value)
+            self._drop_unreadable_worker(record.key, decoded.err_value)
             return known is not None
         self.unreadable.pop(record.key, None)
         self.state.workers[record.key] = decoded.ok_value
         self.state.heard_ms[record.key] = monotonic_ms()
         return decoded.ok_value != known
 
-    def _leave_out(self, worker_id: str, detail: str) -> None:
-        """Use a worker no more whose newest entry can't be read: the older one holds no longer.
+    def _drop_unreadable_worker(self, worker_id: str, detail: str) -> None:
+        """Drop a worker whose newest entry can't be decoded, since the older one is outdated.
 
-        What it runs goes on under its lease. It is told once, and not with each heartbeat.
+        Its tasks continue under its lease. The error is logged once and not with each heartbeat.
         """
         self.state.workers.pop(worker_id, None)
         self.state.heard_ms.pop(worker_id, None)
@@ -221,14 +219,14 @@
             return
         self.unreadable[worker_id] = detail
         _LOGGER.error(
-            "a worker's entry can't be read; the worker isn't used",
+            "cannot decode a worker's entry; ignoring the worker",
             extra={"event": "worker_unreadable", "worker": worker_id, "detail": detail},
         )
 
-    def _keep_workers(self, keys: set[str]) -> None:
+    def _retain_workers(self, keys: set[str]) -> None:
         before = len(self.state.workers)
-        for known in (self.state.workers, self.state.heard_ms, self.unreadable):
-            for worker_id in known.keys() - keys:
-                del known[worker_id]
+        for entries in (self.state.workers, self.state.heard_ms, self.unreadable):
+            for worker_id in entries.keys() - keys:
+                del entries[worker_id]
         if len(self.state.workers) != before:
-            self._tell()
+            self._notify()
--- a/heatherkeel/directory/follower.py
+++ b/heatherkeel/directory/follower.py
@@ -1,4 +1,4 @@
-"""Follows one partition of a keyed topic, from its newest records on."""
+"""Follows one partition of a keyed topic, starting with its newest records."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 _LOGGER = logging.getLogger(__name__)
 
 RETRY_PAUSE_S = 0.3
-"""Pause after a reading that failed, in seconds."""
+"""Pause after a failed read, in seconds."""
 
 
 class TopicFollower:
-    """Hands on each record once and in order, and says which keys are gone.
+    """Passes on each record once and in order.
 
-    `take` gets records; `keep_only` gets all keys that exist, after the newest records have
-    been read anew: a drop that happened while the history was forgotten is seen only so.
+    `take` is called with records. `keep_only` is called with all existing keys after the newest
+    records have been read again; deletions in forgotten history are only visible this way.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self.caught_up = trio.Event()
         self.connected = True
         self.read_ms = monotonic_ms()
-        """When the last reading was answered."""
+        """When the store last answered a read."""
 
     async def async_run(self) -> None:
         """Follow until cancelled."""
@@ -57,22 +57,22 @@
             if self.next_offset is None:
                 await self._async_read_newest()
             else:
-                await self._async_read_on(self.next_offset)
+                await self._async_read_next(self.next_offset)
 
     async def _async_read_newest(self) -> None:
         read = await self.store.async_read_all_newest(self.topic, self.partition)
         if isinstance(read, Err):
-            return await self._async_fail(read.err_value)
+            return await self._async_handle_failure(read.err_value)
         page = read.ok_value
-        # Pages are not a snapshot: a key may come twice, and only its last record counts.
+        # Pages are no snapshot: a key may occur twice, and only its last record counts.
         records = sorted(page.records, key=lambda record: record.offset)
         self.keep_only({record.key for record in records if record.value})
         self.take(records)
         self.next_offset = page.end
-        self._succeed()
+        self._record_success()
         return None
 
-    async def _async_read_on(self, start: int) -> None:
+    async def _async_read_next(self, start: int) -> None:
         read = await self.store.async_read(
             self.topic, self.partition, start=start, wait_ms=self.wait_ms
         )
@@ -81,19 +81,19 @@
                 self.next_offset = start + len(answer.records)
                 if answer.records:
                     self.take(answer.records)
-                self._succeed()
+                self._record_success()
                 if self.pause_s:
                     await trio.sleep(self.pause_s)
             case Err(error) if error.failure is Failure.FORGOTTEN:
                 _LOGGER.info(
-                    "history forgotten; reading the newest records anew",
+                    "the store has dropped this history; reading the newest records again",
                     extra={"event": "history_forgotten", "topic": self.topic, "offset": start},
                 )
                 self.next_offset = None
             case Err(error):
-                await self._async_fail(error)
+                await self._async_handle_failure(error)
 
-    def _succeed(self) -> None:
+    def _record_success(self) -> None:
         self.read_ms = monotonic_ms()
         self.caught_up.set()
         if not self.connected:
@@ -102,24 +102,24 @@
                 "topic can be read again", extra={"event": "topic_regained", "topic": self.topic}
             )
 
-    async def _async_fail(self, error: CallError) -> None:
+    async def _async_handle_failure(self, error: CallError) -> None:
         if self.connected:
             self.connected = False
             _LOGGER.warning(
-                "topic can't be read; what was read last is used",
+                "cannot read a topic; using the records that were read before",
                 extra={"event": "topic_lost", "topic": self.topic, "detail": error.detail},
             )
         await trio.sleep(RETRY_PAUSE_S)
 
 
 async def async_read_whole(store: StoreClient, topic: str, partition: int) -> NewestRecords:
-    """Read all newest records of a partition, however long it takes until they can be read."""
+    """Read all newest records of a partition; retry until it succeeds."""
     while True:
         read = await store.async_read_all_newest(topic, partition)
         if not isinstance(read, Err):
             return read.ok_value
         _LOGGER.warning(
-            "a partition's records can't be read yet",
+            "cannot read a partition's records; retrying",
             extra={
                 "event": "restore_waits",
                 "topic": topic,
--- a/heatherkeel/directory/layout_reader.py
+++ b/heatherkeel/directory/layout_reader.py
@@ -1,4 +1,4 @@
-"""Learns how services are shared out among partitions, which the fleet's owner has stored."""
+"""Reads the layout that the fleet's owner has stored."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LayoutReader:
-    """Reads the layout when a service is configured that it doesn't name, and not otherwise."""
+    """Reads the layout while it lacks a configured service, and only then."""
 
     def __init__(
         self,
@@ -36,8 +36,8 @@
         self.changed = trio.Event()
 
     async def async_run(self) -> None:
-        """Read until cancelled, whenever the directory has changed."""
-        self.directory.subscribe(self._take_change)
+        """Check after each change of the directory, and read if necessary, until cancelled."""
+        self.directory.subscribe(self._handle_change)
         while True:
             self.changed = trio.Event()
             while self._lacks_service():
@@ -45,7 +45,7 @@
                 await trio.sleep(LAYOUT_RETRY_S)
             await self.changed.wait()
 
-    def _take_change(self) -> None:
+    def _handle_change(self) -> None:
         self.changed.set()
 
     def _lacks_service(self) -> bool:
@@ -55,10 +55,10 @@
     async def _async_read(self) -> None:
         read = await self.store.async_read_all_newest(WORK_TOPIC, self.partition)
         if isinstance(read, Err):
-            # Part of the store may be down for seconds, and this partition with it: a process
-            # that starts then would refuse every job though their own partitions work.
+            # If only this partition of the store is unavailable, a starting process would refuse
+            # jobs of all other partitions.
             _LOGGER.info(
-                "the layout can't be read; asking other processes",
+                "cannot read the layout; asking other processes",
                 extra={"event": "layout_unread", "detail": read.err_value.detail},
             )
             layout = await self.async_ask_peers()
@@ -71,20 +71,20 @@
 
 
 def find_layout(records: list[KeyedRecord]) -> Layout | None:
-    """Return the layout that stands in the fleet's partition, empty if none does.
+    """Return the layout that is stored in the fleet's partition, empty if there is none.
 
-    None if one does that can't be read, as after a step back to an older version of the program.
-    Nobody may make another in its place: jobs are where the stored one says.
+    Returns None if the stored layout can't be decoded, as after a downgrade. It must not be
+    replaced then, since existing jobs are routed by it.
     """
     stored = [record for record in records if record.key == LAYOUT_KEY and record.value]
     if not stored:
         return Layout()
-    # Pages are not a snapshot: a key may come twice, and only its last record counts.
+    # Pages are no snapshot: a key may occur twice, and only its last record counts.
     match decode_layout(max(stored, key=lambda record: record.offset).value):
         case Ok(layout):
             return layout
         case Err(detail):
             _LOGGER.error(
-                "the layout can't be read", extra={"event": "layout_bad", "detail": detail}
+                "cannot decode the layout", extra={"event": "layout_bad", "detail": detail}
             )
             return None
--- a/tests/directory/test_directory.py
+++ b/tests/directory/test_directory.py
@@ -1,4 +1,4 @@
-"""What operators and workers have written, as one process follows it."""
+"""The directory follows the operator's and the workers' records."""
 
 from __future__ import annotations
 
@@ -18,29 +18,26 @@
 
 
 def make_directory() -> Directory:
-    """Return a directory that reads nothing by itself."""
+    """Return a directory that isn't started."""
     return Directory(store=StoreClient(address="127.0.0.1:1"))
 
 
 def configuration(version: int, *names: str) -> KeyedRecord:
-    """Return the record of a configuration with some queues."""
+    """Return the record of a configuration with these queues."""
     queues = [QUEUE | {"name": name} for name in names]
     value = msgspec.json.encode({"version": version, "routes": queues, "services": []})
     return KeyedRecord(key="config", value=value)
 
 
-def test_older_configuration_is_not_taken_back() -> None:
-    """A store that reads behind, or a late answer, tells an older version after a newer one.
-
-    Taken, callers would see what they have already seen go: a queue that is there is refused.
-    """
+def test_older_configuration_is_ignored() -> None:
+    """A stale replica or a late answer must not revert a configuration that callers have seen."""
     directory = make_directory()
     directory.operator.take([configuration(7, "new"), configuration(5, "old")])
     assert directory.state.config is not None
     assert directory.state.config.version == 7
 
 
-def test_queue_that_was_removed_is_still_known_for_the_jobs_that_it_took() -> None:
+def test_removed_queue_is_kept_for_its_accepted_jobs() -> None:
     directory = make_directory()
     directory.operator.take([configuration(1, "one", "two")])
     directory.operator.take([configuration(2, "two")])
@@ -49,7 +46,7 @@
     assert set(directory.state.queues) == {"one", "two"}
 
 
-def test_record_that_cannot_be_read_leaves_the_last_one_in_force() -> None:
+def test_unreadable_configuration_leaves_the_previous_one_in_force() -> None:
     directory = make_directory()
     directory.operator.take([configuration(1, "one"), KeyedRecord(key="config", value=b"{")])
     assert directory.state.config is not None
@@ -57,45 +54,41 @@
 
 
 def worker_record(worker_id: str, **change: object) -> KeyedRecord:
-    """Return the record of a worker's entry, as the worker writes it but for a change."""
+    """Return the record of a worker's entry with these fields changed."""
     return KeyedRecord(key=worker_id, value=msgspec.json.encode(ENTRY | change))
 
 
-def test_heartbeats_that_say_the_same_again_are_told_to_nobody() -> None:
-    """Three hundred workers write two hundred times a second, nearly always what they said before.
-
-    Told of each reading, every owner would compare all entries with all its workers four times a
-    second. What is new is told: a worker that comes, drains, or goes.
+def test_unchanged_heartbeats_notify_no_subscriber() -> None:
+    """Heartbeats that change nothing must not make each owner compare all entries; a worker that
+    joins, drains or leaves must notify the subscribers.
     """
     directory = make_directory()
-    told: list[int] = []
-    directory.subscribe(lambda: told.append(len(directory.state.workers)))
+    notified: list[int] = []
+    directory.subscribe(lambda: notified.append(len(directory.state.workers)))
     directory.workers.take([worker_record("w1", sequence=1), worker_record("w2", sequence=1)])
     directory.workers.take([worker_record("w1", sequence=2), worker_record("w2", sequence=2)])
-    assert told == [2]
+    assert notified == [2]
     directory.workers.take([worker_record("w1", sequence=3, state="draining")])
     directory.workers.take([KeyedRecord(key="w2", value=b"")])
-    assert told == [2, 2, 1]
+    assert notified == [2, 2, 1]
 
 
-def test_workers_that_are_gone_when_all_are_read_anew_are_told() -> None:
-    """The history was forgotten while a worker's entry was dropped; no record tells of that."""
+def test_workers_missing_after_a_full_read_notify_subscribers() -> None:
+    """A deletion in forgotten history has no record; subscribers must be notified all the same."""
     directory = make_directory()
     directory.workers.take([worker_record("w1"), worker_record("w2")])
-    told: list[int] = []
-    directory.subscribe(lambda: told.append(len(directory.state.workers)))
+    notified: list[int] = []
+    directory.subscribe(lambda: notified.append(len(directory.state.workers)))
     directory.workers.keep_only({"w1"})
     directory.workers.take([worker_record("w1")])
-    assert told == [1]
+    assert notified == [1]
 
 
-def test_entry_that_cannot_be_read_takes_its_worker_out_and_no_other(
+def test_unreadable_entry_drops_only_its_worker(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Another writer puts something under a worker's key, again and again; another worker stays.
-
-    The older entry holds no longer, so nothing is sent to it. When the worker has written again,
-    it is used again. The log tells of it once, not with each heartbeat.
+    """A worker whose entry can't be decoded is ignored until it writes a valid one; the error is
+    logged once and not with each heartbeat.
     """
     directory = make_directory()
     known = directory.state.workers
@@ -103,20 +96,16 @@
     for _ in range(3):
         directory.workers.take([worker_record("w1", state="resting")])
     assert set(known) == {"w2"}
-    told = [row for row in caplog.records if getattr(row, "event", "") == "worker_unreadable"]
-    assert len(told) == 1
+    logged = [row for row in caplog.records if getattr(row, "event", "") == "worker_unreadable"]
+    assert len(logged) == 1
     directory.workers.take([KeyedRecord(key="w1", value=b"\xff{")])
     assert set(known) == {"w2"}
     directory.workers.take([worker_record("w1")])
     assert set(known) == {"w1", "w2"}
 
 
-def test_unreadable_entry_among_the_newest_records_hides_no_other() -> None:
-    """The history is forgotten, and the newest records hold entries by another writer.
-
-    One has a value that is no base64, one a key that is a number: read as one document they would
-    cost the whole page, and all workers with it, for as long as they stand.
-    """
+def test_unreadable_record_in_a_page_hides_no_other() -> None:
+    """Records with malformed keys or values must not make the whole page of entries unreadable."""
     answer = msgspec.json.encode(
         {
             "items": [
@@ -146,12 +135,8 @@
     trio.run(async_test)
 
 
-def test_workers_that_went_while_the_history_was_forgotten_are_dropped() -> None:
-    """The store forgets its history, and with it the records that say which workers went.
-
-    Read on from there, they would stay for good. The newest records are read anew, and what
-    isn't among them is gone.
-    """
+def test_workers_deleted_in_forgotten_history_are_dropped() -> None:
+    """Workers whose deletion is in dropped history must not stay in the directory for good."""
 
     async def async_test() -> None:
         async with open_site(processes=1, machines=2) as site:
--- a/tests/directory/test_layout_reader.py
+++ b/tests/directory/test_layout_reader.py
@@ -1,4 +1,4 @@
-"""How a process learns which partitions run a service's jobs."""
+"""A process learns from the store or its peers which partitions run a service's jobs."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakeStore(StoreClient):
-    """A store with a layout, or without an answer."""
+    """A store with these records; refuses reads if `stored` is None."""
 
     def __init__(self, stored: list[KeyedRecord] | None) -> None:
         self.stored = stored
@@ -35,21 +35,23 @@
     async def async_read_all_newest(
         self, topic: str, partition: int
     ) -> Result[NewestRecords, CallError]:
-        """Read what is stored."""
+        """Return the stored records."""
         self.asked += 1
         if self.stored is None:
             return Err(CallError(failure=Failure.REFUSED, status=503))
         return Ok(NewestRecords(end=1, records=self.stored, has_more=False))
 
 
-def learn(store: FakeStore, *, services: list[str], known: Layout, told: Layout | None) -> Layout:
-    """Let a process look once; returns what it knows then."""
+def run_reader(
+    store: FakeStore, *, services: list[str], known: Layout, peers_layout: Layout | None
+) -> Layout:
+    """Run a reader for one read; return the layout that is known then."""
     directory = Directory(store=store)
     directory.state.services = {name: Service(name=name) for name in services}
     directory.state.layout = known
 
     async def async_ask_peers() -> Layout | None:
-        return told
+        return peers_layout
 
     reader = LayoutReader(
         store=store, partitions=4, directory=directory, async_ask_peers=async_ask_peers
@@ -63,45 +65,40 @@
     return directory.state.layout
 
 
-def test_layout_is_read_once_and_not_again_while_it_names_every_service() -> None:
+def test_layout_is_read_once_while_it_names_every_service() -> None:
     store = FakeStore([record(LAYOUT.encode())])
-    assert learn(store, services=["desk"], known=Layout(), told=None) == LAYOUT
+    assert run_reader(store, services=["desk"], known=Layout(), peers_layout=None) == LAYOUT
     assert store.asked == 1
-    learn(store, services=["desk"], known=LAYOUT, told=None)
+    run_reader(store, services=["desk"], known=LAYOUT, peers_layout=None)
     assert store.asked == 1
 
 
-def test_others_are_asked_where_the_store_cannot_be_read() -> None:
+def test_peers_are_asked_if_the_store_cannot_be_read() -> None:
     store = FakeStore(None)
-    assert learn(store, services=["desk"], known=Layout(), told=LAYOUT) == LAYOUT
+    assert run_reader(store, services=["desk"], known=Layout(), peers_layout=LAYOUT) == LAYOUT
 
 
-def test_older_layout_takes_nothing_back() -> None:
-    """A peer that hasn't heard of the newest service answers while the store is down.
-
-    Taking its word, the process would refuse jobs of a service that it had served before.
-    """
+def test_older_layout_is_ignored() -> None:
+    """With a peer's outdated layout the process would refuse jobs of services it has served."""
     services = ["desk", "portal", "newest"]
     store = FakeStore(None)
-    assert learn(store, services=services, known=LARGER, told=LAYOUT) == LARGER
+    assert run_reader(store, services=services, known=LARGER, peers_layout=LAYOUT) == LARGER
 
 
-def test_of_a_key_that_comes_twice_the_last_record_counts() -> None:
-    """Pages of the store aren't a snapshot: the layout grew while they were read."""
+def test_last_record_of_a_repeated_key_counts() -> None:
+    """Pages of the store are no snapshot: the layout may be extended while they are read."""
     records = [record(LARGER.encode(), offset=9), record(LAYOUT.encode(), offset=4)]
     assert find_layout(records) == LARGER
 
 
-def test_layout_that_cannot_be_read_is_none_and_not_an_empty_one() -> None:
+def test_unreadable_layout_is_none_and_not_empty() -> None:
     assert find_layout([]) == Layout()
     assert find_layout([record(b"{")]) is None
 
 
-def test_layout_is_read_when_a_service_is_new_and_not_otherwise() -> None:
-    """A service is configured while a process runs, and laid out a moment later.
-
-    The process reads until it knows the layout, since it refuses the service's jobs until then;
-    after that it waits for the next change and asks for nothing.
+def test_layout_is_read_only_while_a_new_service_is_missing() -> None:
+    """The reader retries until the layout names a newly configured service, and then stops reading
+    until the next change.
     """
     store = FakeStore([record(LAYOUT.encode())])
     directory = Directory(store=store)
