--- a/heatherkeel/directory/directory.py
+++ b/heatherkeel/directory/directory.py
@@ -76,16 +76,16 @@
             store=store,
             topic=CONFIG_TOPIC,
             partition=0,
-            take=self._apply_operator_records,
-            keep_only=self._retain_operator_keys,
+            on_records=self._apply_operator_records,
+            on_keys=self._retain_operator_keys,
             wait_ms=CONFIG_WAIT_MS,
         )
         self.workers = TopicFollower(
             store=store,
             topic=WORKERS_TOPIC,
             partition=0,
-            take=self._apply_worker_records,
-            keep_only=self._retain_workers,
+            on_records=self._apply_worker_records,
+            on_keys=self._retain_workers,
             wait_ms=WORKERS_WAIT_MS,
             pause_ms=WORKERS_PAUSE_MS,
         )
--- a/heatherkeel/directory/follower.py
+++ b/heatherkeel/directory/follower.py
@@ -23,7 +23,7 @@
 class TopicFollower:
     """Passes on each record once and in order.
 
-    `take` is called with records. `keep_only` is called with all existing keys after the newest
+    `on_records` is called with records. `on_keys` is called with all existing keys after the newest
     records have been read again; deletions in forgotten history are only visible this way.
     """
 
@@ -33,16 +33,16 @@
         store: StoreClient,
         topic: str,
         partition: int,
-        take: Callable[[list[KeyedRecord]], None],
-        keep_only: Callable[[set[str]], None],
+        on_records: Callable[[list[KeyedRecord]], None],
+        on_keys: Callable[[set[str]], None],
         wait_ms: int,
         pause_ms: int = 0,
     ) -> None:
         self.store = store
         self.topic = topic
         self.partition = partition
-        self.take = take
-        self.keep_only = keep_only
+        self.on_records = on_records
+        self.on_keys = on_keys
         self.wait_ms = wait_ms
         self.pause_s = pause_ms / 1000
         self.next_offset: int | None = None
@@ -66,8 +66,8 @@
         page = read.ok_value
         # Pages are no snapshot: a key may occur twice, and only its last record counts.
         records = sorted(page.records, key=lambda record: record.offset)
-        self.keep_only({record.key for record in records if record.value})
-        self.take(records)
+        self.on_keys({record.key for record in records if record.value})
+        self.on_records(records)
         self.next_offset = page.end
         self._record_success()
         return None
@@ -80,7 +80,7 @@
             case Ok(answer):
                 self.next_offset = start + len(answer.records)
                 if answer.records:
-                    self.take(answer.records)
+                    self.on_records(answer.records)
                 self._record_success()
                 if self.pause_s:
                     await trio.sleep(self.pause_s)
--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -269,8 +269,8 @@
             store=self.store,
             topic=JOBS_TOPIC,
             partition=self.partition,
-            take=self._take_job_records,
-            keep_only=lambda keys: None,
+            on_records=self._take_job_records,
+            on_keys=lambda keys: None,
             wait_ms=FOLLOW_WAIT_MS,
         )
         follower.next_offset = self.jobs_end
--- a/tests/directory/test_directory.py
+++ b/tests/directory/test_directory.py
@@ -32,15 +32,15 @@
 def test_older_configuration_is_ignored() -> None:
     """A stale replica or a late answer must not revert a configuration that callers have seen."""
     directory = make_directory()
-    directory.operator.take([configuration(7, "new"), configuration(5, "old")])
+    directory.operator.on_records([configuration(7, "new"), configuration(5, "old")])
     assert directory.state.config is not None
     assert directory.state.config.version == 7
 
 
 def test_removed_queue_is_kept_for_its_accepted_jobs() -> None:
     directory = make_directory()
-    directory.operator.take([configuration(1, "one", "two")])
-    directory.operator.take([configuration(2, "two")])
+    directory.operator.on_records([configuration(1, "one", "two")])
+    directory.operator.on_records([configuration(2, "two")])
     assert directory.state.config is not None
     assert [queue.name for queue in directory.state.config.queues] == ["two"]
     assert set(directory.state.queues) == {"one", "two"}
@@ -48,7 +48,7 @@
 
 def test_unreadable_configuration_leaves_the_previous_one_in_force() -> None:
     directory = make_directory()
-    directory.operator.take([configuration(1, "one"), KeyedRecord(key="config", value=b"{")])
+    directory.operator.on_records([configuration(1, "one"), KeyedRecord(key="config", value=b"{")])
     assert directory.state.config is not None
     assert directory.state.config.version == 1
 
@@ -65,22 +65,22 @@
     directory = make_directory()
     notified: list[int] = []
     directory.subscribe(lambda: notified.append(len(directory.state.workers)))
-    directory.workers.take([worker_record("w1", sequence=1), worker_record("w2", sequence=1)])
-    directory.workers.take([worker_record("w1", sequence=2), worker_record("w2", sequence=2)])
+    directory.workers.on_records([worker_record("w1", sequence=1), worker_record("w2", sequence=1)])
+    directory.workers.on_records([worker_record("w1", sequence=2), worker_record("w2", sequence=2)])
     assert notified == [2]
-    directory.workers.take([worker_record("w1", sequence=3, state="draining")])
-    directory.workers.take([KeyedRecord(key="w2", value=b"")])
+    directory.workers.on_records([worker_record("w1", sequence=3, state="draining")])
+    directory.workers.on_records([KeyedRecord(key="w2", value=b"")])
     assert notified == [2, 2, 1]
 
 
 def test_workers_missing_after_a_full_read_notify_subscribers() -> None:
     """A deletion in forgotten history has no record; subscribers must be notified all the same."""
     directory = make_directory()
-    directory.workers.take([worker_record("w1"), worker_record("w2")])
+    directory.workers.on_records([worker_record("w1"), worker_record("w2")])
     notified: list[int] = []
     directory.subscribe(lambda: notified.append(len(directory.state.workers)))
-    directory.workers.keep_only({"w1"})
-    directory.workers.take([worker_record("w1")])
+    directory.workers.on_keys({"w1"})
+    directory.workers.on_records([worker_record("w1")])
     assert notified == [1]
 
 
@@ -92,15 +92,15 @@
     """
     directory = make_directory()
     known = directory.state.workers
-    directory.workers.take([worker_record("w1"), worker_record("w2")])
+    directory.workers.on_records([worker_record("w1"), worker_record("w2")])
     for _ in range(3):
-        directory.workers.take([worker_record("w1", state="resting")])
+        directory.workers.on_records([worker_record("w1", state="resting")])
     assert set(known) == {"w2"}
     logged = [row for row in caplog.records if getattr(row, "event", "") == "worker_unreadable"]
     assert len(logged) == 1
-    directory.workers.take([KeyedRecord(key="w1", value=b"\xff{")])
+    directory.workers.on_records([KeyedRecord(key="w1", value=b"\xff{")])
     assert set(known) == {"w2"}
-    directory.workers.take([worker_record("w1")])
+    directory.workers.on_records([worker_record("w1")])
     assert set(known) == {"w1", "w2"}
 
 
@@ -129,7 +129,7 @@
         store.reads.async_call = async_call  # type: ignore[method-assign]
         read = await store.async_read_all_newest("keyed.servers", 0)
         assert isinstance(read, Ok)
-        directory.workers.take(read.ok_value.records)
+        directory.workers.on_records(read.ok_value.records)
         assert set(directory.state.workers) == {"w1"}
 
     trio.run(async_test)
--- a/tests/directory/test_layout_reader.py
+++ b/tests/directory/test_layout_reader.py
@@ -117,7 +117,7 @@
             await trio.sleep(5)
             assert store.asked == 1 and directory.state.layout == LAYOUT
             directory.state.services["portal"] = Service(name="portal")
-            directory.operator.take([])
+            directory.operator.on_records([])
             await trio.sleep(1)
             store.stored = [record(LARGER.encode(), offset=1)]
             await trio.sleep(1)
