--- a/heatherkeel/directory/directory.py
+++ b/heatherkeel/directory/directory.py
@@ -52,7 +52,7 @@
     services: dict[str, Service] = field(default_factory=dict)
     waves: dict[int, Wave] = field(default_factory=dict)
     workers: dict[str, WorkerEntry] = field(default_factory=dict)
-    heard_ms: dict[str, int] = field(default_factory=dict)
+    received_ms: dict[str, int] = field(default_factory=dict)
     """When each worker's entry was last received, on the monotonic clock."""
     layout: Layout = field(default_factory=Layout)
     """Assignment of services to partitions; empty until it is known."""
@@ -196,7 +196,7 @@
         known = self.state.workers.get(record.key)
         if not record.value:
             self.state.workers.pop(record.key, None)
-            self.state.heard_ms.pop(record.key, None)
+            self.state.received_ms.pop(record.key, None)
             self.unreadable.pop(record.key, None)
             return known is not None
         decoded = decode_worker(record.value)
@@ -205,7 +205,7 @@
             return known is not None
         self.unreadable.pop(record.key, None)
         self.state.workers[record.key] = decoded.ok_value
-        self.state.heard_ms[record.key] = monotonic_ms()
+        self.state.received_ms[record.key] = monotonic_ms()
         return decoded.ok_value != known
 
     def _drop_unreadable_worker(self, worker_id: str, detail: str) -> None:
@@ -214,7 +214,7 @@
         Its tasks continue under its lease. The error is logged once and not with each heartbeat.
         """
         self.state.workers.pop(worker_id, None)
-        self.state.heard_ms.pop(worker_id, None)
+        self.state.received_ms.pop(worker_id, None)
         if self.unreadable.get(worker_id) == detail:
             return
         self.unreadable[worker_id] = detail
@@ -225,7 +225,7 @@
 
     def _retain_workers(self, keys: set[str]) -> None:
         before = len(self.state.workers)
-        for entries in (self.state.workers, self.state.heard_ms, self.unreadable):
+        for entries in (self.state.workers, self.state.received_ms, self.unreadable):
             for worker_id in entries.keys() - keys:
                 del entries[worker_id]
         if len(self.state.workers) != before:
--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -297,11 +297,11 @@
     def _find_outdated(self, now_ms: int) -> frozenset[str]:
         """Return the workers whose rooms may have shrunk so long ago that it counts by now."""
         since_ms = now_ms - self.entry_age_ms
-        heard_ms = self.directory.state.heard_ms
+        received_ms = self.directory.state.received_ms
         return frozenset(
             worker_id
             for worker_id in self.state.workers
-            if heard_ms.get(worker_id, now_ms) < since_ms
+            if received_ms.get(worker_id, now_ms) < since_ms
         )
 
     def _perform(self, effect: Effect) -> None:
