--- a/heatherkeel/directory/directory.py
+++ b/heatherkeel/directory/directory.py
@@ -112,7 +112,7 @@
         """Stop calling `callback`."""
         self.subscribers.remove(callback)
 
-    def take_layout(self, layout: Layout) -> None:
+    def apply_layout(self, layout: Layout) -> None:
         """Use a stored layout, unless it names no more services than the known one."""
         if len(layout.shares) <= len(self.state.layout.shares):
             return
--- a/heatherkeel/directory/layout_reader.py
+++ b/heatherkeel/directory/layout_reader.py
@@ -63,11 +63,11 @@
             )
             layout = await self.async_ask_peers()
             if layout is not None:
-                self.directory.take_layout(layout)
+                self.directory.apply_layout(layout)
             return
         stored = find_layout(read.ok_value.records)
         if stored is not None:
-            self.directory.take_layout(stored)
+            self.directory.apply_layout(stored)
 
 
 def find_layout(records: list[KeyedRecord]) -> Layout | None:
--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -119,7 +119,7 @@
         own = (await async_read_whole(self.store, WORK_TOPIC, self.partition)).records
         self.layout = find_layout(own)
         if self.layout is not None:
-            self.directory.take_layout(self.layout)
+            self.directory.apply_layout(self.layout)
         lease_ms = self.settings.bounds.machine_lease_ms
         blocked = await self.orders.async_restore(own, lease_ms=lease_ms)
         self.state.blocked_until_ms.update(blocked)
@@ -191,7 +191,7 @@
             return
         self.layout = layout
         self.journal.put(LAYOUT_KEY, layout.encode)
-        self.journal.when_stored(lambda: self.directory.take_layout(layout))
+        self.journal.when_stored(lambda: self.directory.apply_layout(layout))
 
     def _list_pools(self) -> dict[str, list[str]]:
         """Return the machines of each pool in the order of racks; none while they aren't known.
