--- a/heatherkeel/directory/follower.py
+++ b/heatherkeel/directory/follower.py
@@ -112,7 +112,9 @@
         await trio.sleep(RETRY_PAUSE_S)
 
 
-async def async_read_whole(store: StoreClient, topic: str, partition: int) -> NewestRecords:
+async def async_read_newest_with_retry(
+    store: StoreClient, topic: str, partition: int
+) -> NewestRecords:
     """Read all newest records of a partition; retry until it succeeds."""
     while True:
         read = await store.async_read_all_newest(topic, partition)
--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -9,7 +9,7 @@
 import trio
 
 from heatherkeel.directory.directory import Directory
-from heatherkeel.directory.follower import TopicFollower, async_read_whole
+from heatherkeel.directory.follower import TopicFollower, async_read_newest_with_retry
 from heatherkeel.helpers.clock import monotonic_ms, wall_ms
 from heatherkeel.ownership.const import JOBS_TOPIC, WORK_TOPIC
 from heatherkeel.ownership.partition_ownership import PartitionOwnership
@@ -170,8 +170,8 @@
         await self.directory.workers.caught_up.wait()
         if not await self.journal.async_open():
             await trio.sleep_forever()
-        work = await async_read_whole(self.store, WORK_TOPIC, self.partition)
-        jobs = await async_read_whole(self.store, JOBS_TOPIC, self.partition)
+        work = await async_read_newest_with_retry(self.store, WORK_TOPIC, self.partition)
+        jobs = await async_read_newest_with_retry(self.store, JOBS_TOPIC, self.partition)
         self.jobs_end = jobs.end
         now_ms, wall_ms = self.times()
         self.state.now_ms, self.state.wall_ms = now_ms, wall_ms
--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from heatherkeel.directory.directory import Directory
-from heatherkeel.directory.follower import async_read_whole
+from heatherkeel.directory.follower import async_read_newest_with_retry
 from heatherkeel.directory.layout_reader import find_layout
 from heatherkeel.dispatch.journal import Journal
 from heatherkeel.helpers.clock import monotonic_ms, wall_ms
@@ -116,7 +116,7 @@
         await self.directory.operator.caught_up.wait()
         if not await self.journal.async_open():
             await trio.sleep_forever()
-        own = (await async_read_whole(self.store, WORK_TOPIC, self.partition)).records
+        own = (await async_read_newest_with_retry(self.store, WORK_TOPIC, self.partition)).records
         self.layout = find_layout(own)
         if self.layout is not None:
             self.directory.apply_layout(self.layout)
--- a/heatherkeel/pooling/ordering.py
+++ b/heatherkeel/pooling/ordering.py
@@ -10,7 +10,7 @@
 import trio
 from result import Err, Result
 
-from heatherkeel.directory.follower import async_read_whole
+from heatherkeel.directory.follower import async_read_newest_with_retry
 from heatherkeel.dispatch.journal import Journal
 from heatherkeel.helpers.clock import monotonic_ms, wall_ms
 from heatherkeel.platform.errors import CallError
@@ -85,7 +85,7 @@
         records: list[KeyedRecord] = []
 
         async def async_read(partition: int) -> None:
-            read = await async_read_whole(self.store, ORDERS_TOPIC, partition)
+            read = await async_read_newest_with_retry(self.store, ORDERS_TOPIC, partition)
             records.extend(read.records)
 
         async with trio.open_nursery() as nursery:
