--- a/heatherkeel/questions/__init__.py
+++ b/heatherkeel/questions/__init__.py
@@ -1,1 +1,1 @@
-"""What processes ask each other directly: the owner of a partition knows its jobs."""
+"""Questions and answers that processes exchange directly, such as about jobs of a partition."""
--- a/heatherkeel/questions/answering.py
+++ b/heatherkeel/questions/answering.py
@@ -1,4 +1,4 @@
-"""Answers questions from the partitions that this process owns."""
+"""Answers questions about the partitions that this process owns."""
 
 from __future__ import annotations
 
@@ -24,10 +24,13 @@
 def answer_question(
     owners: dict[int, PartitionOwner], layout: Layout, question: Question
 ) -> Answer:
-    """Answer a question; an owner that doesn't read its partition must not say "unknown"."""
+    """Answer a question.
+
+    An owner whose copy of its partition may be outdated must not report a job as unknown.
+    """
     if isinstance(question, LayoutAsked):
         return LayoutTold(layout=layout)
-    assert not isinstance(question, StoreAsked), "answered by whoever makes the call"
+    assert not isinstance(question, StoreAsked), "answered by the relay"
     owner = owners.get(question.partition)
     if owner is None or not owner.is_restored:
         return NotOwner()
--- a/heatherkeel/questions/const.py
+++ b/heatherkeel/questions/const.py
@@ -1,14 +1,15 @@
-"""Times of questions between processes."""
+"""Timeouts and intervals of questions between processes."""
 
 from __future__ import annotations
 
 from typing import Final
 
 ANSWER_TIMEOUT_S: Final = 0.5
-"""Longest wait for one answer, in seconds; owners answer within a few milliseconds, and callers
-wait for 3 s, so that a second try and a look into the store still fit."""
+"""Timeout for one answer, in seconds; leaves callers time for a retry and a read of the store."""
 CONNECT_POLL_S: Final = 0.01
-"""Pause between tries to send on a connection that is being made, in seconds."""
+"""Interval between attempts to send while a connection is being established, in seconds."""
 UNUSED_AFTER_MS: Final = 20_000
-"""A connection that nobody has used for this long is closed, in milliseconds. The library goes on
-trying to connect to a machine that has been removed, for as long as the socket is open."""
+"""Idle time after which a connection is closed, in milliseconds.
+
+ZeroMQ would try to reconnect to a removed machine for as long as the socket is open.
+"""
--- a/heatherkeel/questions/links.py
+++ b/heatherkeel/questions/links.py
@@ -1,4 +1,4 @@
-"""Sockets for questions: one that takes them, and one to each process that was asked."""
+"""Sockets for questions: one that receives them, and one to each process that was asked."""
 
 from __future__ import annotations
 
@@ -27,57 +27,57 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Waiting:
-    """A question on its way."""
+class PendingQuestion:
+    """A question that was sent and its answer, if it has arrived."""
 
     answered: trio.Event = field(default_factory=trio.Event)
     answer: Answer | None = None
 
 
 class QuestionLink:
-    """A connection to one process; a question that gets no answer is given up, not sent again."""
+    """A connection to one process; unanswered questions time out and aren't sent again."""
 
     def __init__(self, *, context: zmq.Context[zmq.Socket[bytes]], address: str) -> None:
-        self.socket = EdgeSocket(context=context, kind=zmq.DEALER, handle=self._take)
+        self.socket = EdgeSocket(context=context, kind=zmq.DEALER, handle=self._handle_frames)
         self.socket.socket.connect(f"tcp://{address}")
-        self.waiting: dict[bytes, Waiting] = {}
-        self.asked = 0
+        self.pending: dict[bytes, PendingQuestion] = {}
+        self.question_count = 0
         self.used_ms = monotonic_ms()
 
     async def async_ask(self, question: Question, *, timeout_s: float) -> Answer | None:
-        """Return the answer; None if there is none in time."""
+        """Send a question and return the answer; None if none arrives in time."""
         self.used_ms = monotonic_ms()
-        self.asked += 1
-        number = str(self.asked).encode()
-        waiting = self.waiting[number] = Waiting()
+        self.question_count += 1
+        number = str(self.question_count).encode()
+        pending = self.pending[number] = PendingQuestion()
         try:
             with trio.move_on_after(timeout_s):
                 while not self.socket.send([number, encode_message(question)]):
                     await trio.sleep(CONNECT_POLL_S)
-                await waiting.answered.wait()
+                await pending.answered.wait()
         finally:
-            del self.waiting[number]
-        return waiting.answer
+            del self.pending[number]
+        return pending.answer
 
-    def _take(self, frames: Frames) -> None:
+    def _handle_frames(self, frames: Frames) -> None:
         if len(frames) != 2:
             return
-        waiting = self.waiting.get(frames[0])
-        if waiting is None:
+        pending = self.pending.get(frames[0])
+        if pending is None:
             return
         decoded = decode_answer(frames[1])
         if isinstance(decoded, Err):
             _LOGGER.error(
-                "an answer can't be read",
+                "cannot decode an answer",
                 extra={"event": "answer_unreadable", "detail": decoded.err_value},
             )
         else:
-            waiting.answer = decoded.ok_value
-        waiting.answered.set()
+            pending.answer = decoded.ok_value
+        pending.answered.set()
 
 
 class QuestionLinks:
-    """All links of one process."""
+    """The links of one process: its socket for questions and its connections to others."""
 
     def __init__(
         self,
@@ -92,12 +92,12 @@
         self.async_answer_store = async_answer_store
         self.on_heard = on_heard
         self.context: zmq.Context[zmq.Socket[bytes]] = zmq.Context(io_threads=1)
-        self.router = EdgeSocket(context=self.context, kind=zmq.ROUTER, handle=self._take)
+        self.router = EdgeSocket(context=self.context, kind=zmq.ROUTER, handle=self._handle_frames)
         self.links: dict[str, QuestionLink] = {}
         self.nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Open the port; `zmq.ZMQError` if it is taken."""
+        """Open the port; raises `zmq.ZMQError` if it is in use."""
         self.nursery = nursery
         self.router.socket.bind(f"tcp://{self.address}")
         endpoint = self.router.socket.getsockopt_string(zmq.LAST_ENDPOINT)
@@ -105,7 +105,7 @@
         self.router.start(nursery)
 
     def close(self) -> None:
-        """Close all links; questions under way get no answer."""
+        """Close all links; pending questions get no answer."""
         for link in self.links.values():
             link.socket.close()
         self.router.close()
@@ -114,9 +114,9 @@
     async def async_ask(
         self, address: str, question: Question, *, timeout_s: float = ANSWER_TIMEOUT_S
     ) -> Answer | None:
-        """Ask the process at an address; None if no answer comes in time."""
+        """Ask the process at an address; returns None if no answer arrives in time."""
         if address == self.address:
-            assert not isinstance(question, StoreAsked), "a call is never forwarded to oneself"
+            assert not isinstance(question, StoreAsked), "a process never relays a call to itself"
             return self.answer(question)
         self._close_unused()
         link = self.links.get(address)
@@ -129,17 +129,17 @@
     def _close_unused(self) -> None:
         now_ms = monotonic_ms()
         for address, link in list(self.links.items()):
-            if not link.waiting and now_ms - link.used_ms > UNUSED_AFTER_MS:
+            if not link.pending and now_ms - link.used_ms > UNUSED_AFTER_MS:
                 del self.links[address]
                 link.socket.close()
 
-    def _take(self, frames: Frames) -> None:
+    def _handle_frames(self, frames: Frames) -> None:
         if len(frames) != 3:
             return
         decoded = decode_question(frames[2])
         if isinstance(decoded, Err):
             _LOGGER.error(
-                "a question can't be read",
+                "cannot decode a question",
                 extra={"event": "question_unreadable", "detail": decoded.err_value},
             )
             return
@@ -147,12 +147,12 @@
         question = decoded.ok_value
         if isinstance(question, StoreAsked):
             assert self.nursery is not None
-            self.nursery.start_soon(self._async_answer, frames, question)
+            self.nursery.start_soon(self._async_reply_to_relay, frames, question)
             return
         self._reply(frames, self.answer(question))
 
-    async def _async_answer(self, frames: Frames, question: StoreAsked) -> None:
-        """Answer what takes a call to the store, while other questions go on."""
+    async def _async_reply_to_relay(self, frames: Frames, question: StoreAsked) -> None:
+        """Answer a question that needs a call to the store, without blocking other questions."""
         self._reply(frames, await self.async_answer_store(question))
 
     def _reply(self, frames: Frames, answer: Answer) -> None:
--- a/heatherkeel/questions/messages.py
+++ b/heatherkeel/questions/messages.py
@@ -1,4 +1,4 @@
-"""Messages between processes, as JSON of one version."""
+"""Messages between processes, encoded as JSON."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 
 
 class JobAsked(msgspec.Struct, frozen=True, kw_only=True, tag="job"):
-    """Asks how a job is."""
+    """Asks for the state of a job."""
 
     partition: int
     job_id: str
 
 
 class QueueAsked(msgspec.Struct, frozen=True, kw_only=True, tag="queue"):
-    """Asks how many accepted jobs of a queue have no task started."""
+    """Asks how many accepted jobs of a queue have no started task."""
 
     partition: int
     queue: str
 
 
 class PoolsAsked(msgspec.Struct, frozen=True, kw_only=True, tag="pools"):
-    """Asks how full the pools are; these workers, and no others, are to be emptied meanwhile."""
+    """Asks for the load of the pools, and lists all workers that are to be drained."""
 
     partition: int
     leaving: list[str]
     due: list[str] = []
-    """Workers whose machines are to be maintained later: no place for a lasting task."""
+    """Workers whose machines are due for maintenance: long-running tasks avoid them."""
 
 
 class LayoutAsked(msgspec.Struct, frozen=True, kw_only=True, tag="layout"):
-    """Asks how services are laid out, of a process that need not own anything."""
+    """Asks for the layout; also answered by processes that own no partition."""
 
     partition: int
 
 
 class StoreAsked(msgspec.Struct, frozen=True, kw_only=True, tag="store"):
-    """Asks a process to make a call to the store, which turns the asking one away.
+    """Asks a process to relay a call to the store, which refuses the calls of the asking one.
 
-    It is about no partition of the process that is asked.
+    It concerns no partition of the process that is asked.
     """
 
     partition: int = -1
@@ -56,19 +56,19 @@
 
 
 class JobTold(msgspec.Struct, frozen=True, kw_only=True, tag="job"):
-    """A job's state; empty if the owner knows no such job."""
+    """A job's state; empty if the owner doesn't know the job."""
 
     state: str = ""
 
 
 class QueueTold(msgspec.Struct, frozen=True, kw_only=True, tag="queue"):
-    """A queue's length."""
+    """The number of a queue's accepted jobs without a started task."""
 
     pending: int
 
 
 class Need(msgspec.Struct, frozen=True, kw_only=True):
-    """What a task asks for that no worker of its share has, even an empty one."""
+    """Requirements of a task that no worker of its share meets, even without other tasks."""
 
     label: str = ""
     cpu: int = 0
@@ -77,30 +77,30 @@
 
 
 class PoolLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """What a pool's jobs ask for and have; processor in thousandths of a core."""
+    """What a pool's jobs demand and use; processor in thousandths of a core."""
 
     service: str
     wanted_cpu: int
-    """Of tasks that could start now, and of what runs."""
+    """Demand of tasks that could start now and of running tasks."""
     used_cpu: int
     wanted_memory_mb: int = 0
-    """Likewise; lasting tasks may need more machines for their memory than for their processor."""
+    """Likewise; long-running tasks may need more machines for memory than for processor."""
     arriving_cpu: int = 0
-    """What jobs ask for at the pace at which they come now."""
+    """Demand of jobs at the current arrival rate."""
     arrivals: int = 0
-    """Of how many jobs that pace was taken."""
+    """Number of jobs from which the arrival rate was calculated."""
     lacking: int = 0
-    """Workers that lasting tasks without room need beside those that there are."""
+    """Number of additional workers that unplaced long-running tasks need."""
     needs: list[Need] = []
-    """Of steps that wait; a few at the most."""
+    """Unmet requirements of waiting steps; a few at most."""
     workers: dict[str, int]
-    """The processor that runs take, by worker."""
+    """The processor that running tasks use, by worker."""
     unheard: list[str] = []
-    """Workers that don't answer, or get no work for a while: no room for the pool's jobs."""
+    """Workers that are unresponsive or quarantined, and so no capacity for the pool's jobs."""
     empty: list[str]
-    """Workers that leave and on which nothing runs any more."""
+    """Drained workers without running tasks."""
     lasting: dict[str, int]
-    """How many lasting tasks are at each worker that has any."""
+    """Number of long-running tasks of each worker that has any."""
 
 
 class PoolsTold(msgspec.Struct, frozen=True, kw_only=True, tag="pools"):
@@ -110,17 +110,17 @@
 
 
 class LayoutTold(msgspec.Struct, frozen=True, kw_only=True, tag="layout"):
-    """The layout as the process that was asked knows it; empty if it doesn't."""
+    """The layout as known to the process that was asked; empty if it isn't known."""
 
     layout: Layout
 
 
 class NotOwner(msgspec.Struct, frozen=True, kw_only=True, tag="not_owner"):
-    """The process that was asked doesn't own the partition, or doesn't know its jobs yet."""
+    """The process that was asked doesn't own the partition, or hasn't restored its jobs yet."""
 
 
 class StoreTold(msgspec.Struct, frozen=True, kw_only=True, tag="store"):
-    """The store's answer, or with `failure` why there is none."""
+    """The store's answer; `failure` is set if there is none."""
 
     status: int = 0
     body: bytes = b""
@@ -132,12 +132,12 @@
 
 
 def encode_message(message: Question | Answer) -> bytes:
-    """Return a message's bytes."""
+    """Encode a message."""
     return msgspec.json.encode(message)
 
 
 def decode_question(data: bytes) -> Result[Question, str]:
-    """Read a question."""
+    """Decode a question; returns the error's text if it is malformed."""
     try:
         return Ok(msgspec.json.decode(data, type=Question))
     except (ValueError, RecursionError) as err:
@@ -145,7 +145,7 @@
 
 
 def decode_answer(data: bytes) -> Result[Answer, str]:
-    """Read an answer."""
+    """Decode an answer; returns the error's text if it is malformed."""
     try:
         return Ok(msgspec.json.decode(data, type=Answer))
     except (ValueError, RecursionError) as err:
--- a/tests/questions/test_messages.py
+++ b/tests/questions/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between processes are read whole or not at all."""
+"""Messages between processes are decoded completely or rejected."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         LayoutAsked(partition=-1),
     ],
 )
-def test_questions_arrive_as_they_were_asked(question: Question) -> None:
+def test_questions_round_trip(question: Question) -> None:
     assert decode_question(encode_message(question)).unwrap() == question
 
 
@@ -61,11 +61,11 @@
         NotOwner(),
     ],
 )
-def test_answers_arrive_as_they_were_given(answer: Answer) -> None:
+def test_answers_round_trip(answer: Answer) -> None:
     assert decode_answer(encode_message(answer)).unwrap() == answer
 
 
 @given(st.binary())
-def test_anything_else_is_an_error_and_no_exception(data: bytes) -> None:
+def test_malformed_messages_return_errors(data: bytes) -> None:
     assert isinstance(decode_question(data), Err)
     assert isinstance(decode_answer(data), Err)
