--- a/heatherkeel/gateway/lookup.py
+++ b/heatherkeel/gateway/lookup.py
@@ -17,8 +17,8 @@
 from heatherkeel.questions.links import QuestionLinks
 from heatherkeel.questions.messages import (
     Answer,
-    JobAsked,
-    JobTold,
+    JobAnswer,
+    JobQuestion,
     NotOwner,
     Question,
     QueueAsked,
@@ -55,8 +55,8 @@
 
     async def async_find_state(self, partition: int, job_id: str) -> JobState | Err[str] | None:
         """Return a job's state, None if there is no such job, `Err` if nobody could tell."""
-        told = await self._async_ask(partition, JobAsked(partition=partition, job_id=job_id))
-        if isinstance(told, JobTold):
+        told = await self._async_ask(partition, JobQuestion(partition=partition, job_id=job_id))
+        if isinstance(told, JobAnswer):
             state = JobState(told.state) if told.state else None
         else:
             found = await self._async_find_stored(partition, job_id)
@@ -68,8 +68,8 @@
 
     async def async_is_taken(self, partition: int, job_id: str) -> bool:
         """Say whether a partition's owner has read a job from the store, so that it is accepted."""
-        told = await self._async_ask(partition, JobAsked(partition=partition, job_id=job_id))
-        return isinstance(told, JobTold) and bool(told.state)
+        told = await self._async_ask(partition, JobQuestion(partition=partition, job_id=job_id))
+        return isinstance(told, JobAnswer) and bool(told.state)
 
     async def async_count_pending(self, partitions: Sequence[int], queue: str) -> int | None:
         """Return how many jobs of a queue wait in all its partitions; None if one can't be told."""
--- a/heatherkeel/questions/answering.py
+++ b/heatherkeel/questions/answering.py
@@ -8,8 +8,8 @@
 
 from .messages import (
     Answer,
-    JobAsked,
-    JobTold,
+    JobAnswer,
+    JobQuestion,
     LayoutAsked,
     LayoutTold,
     NotOwner,
@@ -34,11 +34,11 @@
     owner = owners.get(question.partition)
     if owner is None or not owner.is_restored:
         return NotOwner()
-    if isinstance(question, JobAsked):
+    if isinstance(question, JobQuestion):
         job = owner.state.find_job(question.job_id)
         if job is None and not owner.is_current():
             return NotOwner()
-        return JobTold(state=job.state.value if job else "")
+        return JobAnswer(state=job.state.value if job else "")
     if isinstance(question, PoolsAsked):
         owner.take_leaving(frozenset(question.leaving), due=frozenset(question.due))
         return PoolsTold(pools=measure_pools(owner.state))
--- a/heatherkeel/questions/messages.py
+++ b/heatherkeel/questions/messages.py
@@ -9,7 +9,7 @@
 from heatherkeel.platform.errors import Failure
 
 
-class JobAsked(msgspec.Struct, frozen=True, kw_only=True, tag="job"):
+class JobQuestion(msgspec.Struct, frozen=True, kw_only=True, tag="job"):
     """Asks for the state of a job."""
 
     partition: int
@@ -52,10 +52,10 @@
     sent_wall_ms: int
 
 
-Question = JobAsked | QueueAsked | PoolsAsked | LayoutAsked | StoreAsked
+Question = JobQuestion | QueueAsked | PoolsAsked | LayoutAsked | StoreAsked
 
 
-class JobTold(msgspec.Struct, frozen=True, kw_only=True, tag="job"):
+class JobAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="job"):
     """A job's state; empty if the owner doesn't know the job."""
 
     state: str = ""
@@ -128,7 +128,7 @@
     detail: str = ""
 
 
-Answer = JobTold | QueueTold | PoolsTold | LayoutTold | StoreTold | NotOwner
+Answer = JobAnswer | QueueTold | PoolsTold | LayoutTold | StoreTold | NotOwner
 
 
 def encode_message(message: Question | Answer) -> bytes:
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -9,7 +9,7 @@
 import trio.testing
 
 from heatherkeel.gateway.app import CLOSE_HEADER
-from heatherkeel.questions.messages import Answer, JobTold, Question
+from heatherkeel.questions.messages import Answer, JobAnswer, Question
 
 from .calling import async_call, make_app
 from .test_lookup import FakeLinks, FakeStore
@@ -35,7 +35,7 @@
         self, address: str, question: Question, *, timeout_s: float = 0.5
     ) -> Answer | None:
         """Tell that the job runs."""
-        return JobTold(state="active")
+        return JobAnswer(state="active")
 
 
 class SilentStore(FakeStore):
--- a/tests/gateway/test_submissions.py
+++ b/tests/gateway/test_submissions.py
@@ -11,7 +11,7 @@
 
 from heatherkeel.platform.errors import CallError, Failure
 from heatherkeel.platform.store import PartitionHealth
-from heatherkeel.questions.messages import Answer, JobTold, Question
+from heatherkeel.questions.messages import Answer, JobAnswer, Question
 from tests.instance.site import STEP
 
 from .calling import async_call, make_app
@@ -49,7 +49,7 @@
         self, address: str, question: Question, *, timeout_s: float = 0.5
     ) -> Answer | None:
         """Tell whether the job was read."""
-        return JobTold(state="pending" if self.knows else "")
+        return JobAnswer(state="pending" if self.knows else "")
 
 
 def submit(*, knows: bool) -> tuple[int, int]:
--- a/tests/questions/test_messages.py
+++ b/tests/questions/test_messages.py
@@ -10,8 +10,8 @@
 from heatherkeel.ownership.partitions import Layout
 from heatherkeel.questions.messages import (
     Answer,
-    JobAsked,
-    JobTold,
+    JobAnswer,
+    JobQuestion,
     LayoutAsked,
     LayoutTold,
     Need,
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize(
     "question",
     [
-        JobAsked(partition=1, job_id="aa"),
+        JobQuestion(partition=1, job_id="aa"),
         QueueAsked(partition=2, queue="quotes"),
         PoolsAsked(partition=3, leaving=["w0"], due=["w1"]),
         LayoutAsked(partition=-1),
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        JobTold(state="active"),
+        JobAnswer(state="active"),
         QueueTold(pending=7),
         PoolsTold(pools=[LOAD]),
         LayoutTold(layout=Layout(shares={"desk": (0, 3)}, places={"m1": 4}, homes={"desk": 9})),
