--- a/heatherkeel/gateway/lookup.py
+++ b/heatherkeel/gateway/lookup.py
@@ -21,8 +21,8 @@
     JobQuestion,
     NotOwner,
     Question,
-    QueueAsked,
-    QueueTold,
+    QueueAnswer,
+    QueueQuestion,
 )
 
 from .const import RECENT_MS, STORED_MAX_AGE_MS
@@ -85,8 +85,8 @@
         return sum(known) if len(known) == len(counts) else None
 
     async def _async_count_in(self, partition: int, queue: str) -> int | None:
-        told = await self._async_ask(partition, QueueAsked(partition=partition, queue=queue))
-        if isinstance(told, QueueTold):
+        told = await self._async_ask(partition, QueueQuestion(partition=partition, queue=queue))
+        if isinstance(told, QueueAnswer):
             return told.pending
         stored = await self._async_read_stored(partition)
         if isinstance(stored, Err):
--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -35,7 +35,7 @@
     Answer,
     LayoutAsked,
     LayoutTold,
-    QueueAsked,
+    QueueQuestion,
     StoreAsked,
 )
 from heatherkeel.relay.answering import StoreRelay
@@ -182,7 +182,7 @@
 
     async def _async_reach(self, address: str) -> bool:
         """Say whether the process at an address answers; what it answers doesn't matter."""
-        question = QueueAsked(partition=-1, queue="")
+        question = QueueQuestion(partition=-1, queue="")
         return await self.links.async_ask(address, question) is not None
 
     async def _async_change(self, change: OwnershipChange) -> None:
--- a/heatherkeel/questions/answering.py
+++ b/heatherkeel/questions/answering.py
@@ -16,7 +16,7 @@
     PoolsAsked,
     PoolsTold,
     Question,
-    QueueTold,
+    QueueAnswer,
     StoreAsked,
 )
 
@@ -49,4 +49,4 @@
         for job in owner.state.jobs.values()
         if job.queue == question.queue and not job.has_started()
     )
-    return QueueTold(pending=pending)
+    return QueueAnswer(pending=pending)
--- a/heatherkeel/questions/messages.py
+++ b/heatherkeel/questions/messages.py
@@ -16,7 +16,7 @@
     job_id: str
 
 
-class QueueAsked(msgspec.Struct, frozen=True, kw_only=True, tag="queue"):
+class QueueQuestion(msgspec.Struct, frozen=True, kw_only=True, tag="queue"):
     """Asks how many accepted jobs of a queue have no started task."""
 
     partition: int
@@ -52,7 +52,7 @@
     sent_wall_ms: int
 
 
-Question = JobQuestion | QueueAsked | PoolsAsked | LayoutAsked | StoreAsked
+Question = JobQuestion | QueueQuestion | PoolsAsked | LayoutAsked | StoreAsked
 
 
 class JobAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="job"):
@@ -61,7 +61,7 @@
     state: str = ""
 
 
-class QueueTold(msgspec.Struct, frozen=True, kw_only=True, tag="queue"):
+class QueueAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="queue"):
     """The number of a queue's accepted jobs without a started task."""
 
     pending: int
@@ -128,7 +128,7 @@
     detail: str = ""
 
 
-Answer = JobAnswer | QueueTold | PoolsTold | LayoutTold | StoreTold | NotOwner
+Answer = JobAnswer | QueueAnswer | PoolsTold | LayoutTold | StoreTold | NotOwner
 
 
 def encode_message(message: Question | Answer) -> bytes:
--- a/tests/gateway/test_lookup.py
+++ b/tests/gateway/test_lookup.py
@@ -11,7 +11,7 @@
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.platform.store_answers import NewestRecords
 from heatherkeel.questions.links import QuestionLinks
-from heatherkeel.questions.messages import Answer, NotOwner, Question, QueueTold
+from heatherkeel.questions.messages import Answer, NotOwner, Question, QueueAnswer
 
 
 class FakeStore(StoreClient):
@@ -48,7 +48,7 @@
     ) -> Answer | None:
         """Answer for the owner at an address."""
         pending = self.pending.get(question.partition)
-        return NotOwner() if pending is None else QueueTold(pending=pending)
+        return NotOwner() if pending is None else QueueAnswer(pending=pending)
 
 
 def count(pending: dict[int, int], *, down: set[int] | None = None) -> int | None:
--- a/tests/questions/test_messages.py
+++ b/tests/questions/test_messages.py
@@ -20,8 +20,8 @@
     PoolsAsked,
     PoolsTold,
     Question,
-    QueueAsked,
-    QueueTold,
+    QueueAnswer,
+    QueueQuestion,
     decode_answer,
     decode_question,
     encode_message,
@@ -42,7 +42,7 @@
     "question",
     [
         JobQuestion(partition=1, job_id="aa"),
-        QueueAsked(partition=2, queue="quotes"),
+        QueueQuestion(partition=2, queue="quotes"),
         PoolsAsked(partition=3, leaving=["w0"], due=["w1"]),
         LayoutAsked(partition=-1),
     ],
@@ -55,7 +55,7 @@
     "answer",
     [
         JobAnswer(state="active"),
-        QueueTold(pending=7),
+        QueueAnswer(pending=7),
         PoolsTold(pools=[LOAD]),
         LayoutTold(layout=Layout(shares={"desk": (0, 3)}, places={"m1": 4}, homes={"desk": 9})),
         NotOwner(),
