--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -23,7 +23,7 @@
 from heatherkeel.platform.settings import InstanceSettings
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.questions.links import QuestionLinks
-from heatherkeel.questions.messages import PoolsAsked, PoolsTold
+from heatherkeel.questions.messages import PoolsAnswer, PoolsQuestion
 
 from .const import (
     LAYOUT_WAIT_MS,
@@ -214,18 +214,18 @@
         leaving = self.state.leaving_workers()
         async with trio.open_nursery() as nursery:
             for partition in self.state.layout.all_partitions():
-                question = PoolsAsked(
+                question = PoolsQuestion(
                     partition=partition, leaving=leaving.get(partition, []), due=due
                 )
                 nursery.start_soon(self._async_measure_partition, question)
 
-    async def _async_measure_partition(self, question: PoolsAsked) -> None:
+    async def _async_measure_partition(self, question: PoolsQuestion) -> None:
         partition = question.partition
         address = await self.holders.async_find(partition)
         if not address:
             return
         answer = await self.links.async_ask(address, question)
-        if isinstance(answer, PoolsTold):
+        if isinstance(answer, PoolsAnswer):
             self._take(
                 PoolsMeasured(now_ms=monotonic_ms(), partition=partition, loads=answer.pools)
             )
--- a/heatherkeel/questions/answering.py
+++ b/heatherkeel/questions/answering.py
@@ -13,8 +13,8 @@
     LayoutAsked,
     LayoutTold,
     NotOwner,
-    PoolsAsked,
-    PoolsTold,
+    PoolsAnswer,
+    PoolsQuestion,
     Question,
     QueueAnswer,
     StoreAsked,
@@ -39,9 +39,9 @@
         if job is None and not owner.is_current():
             return NotOwner()
         return JobAnswer(state=job.state.value if job else "")
-    if isinstance(question, PoolsAsked):
+    if isinstance(question, PoolsQuestion):
         owner.take_leaving(frozenset(question.leaving), due=frozenset(question.due))
-        return PoolsTold(pools=measure_pools(owner.state))
+        return PoolsAnswer(pools=measure_pools(owner.state))
     if not owner.is_current():
         return NotOwner()
     pending = sum(
--- a/heatherkeel/questions/messages.py
+++ b/heatherkeel/questions/messages.py
@@ -23,7 +23,7 @@
     queue: str
 
 
-class PoolsAsked(msgspec.Struct, frozen=True, kw_only=True, tag="pools"):
+class PoolsQuestion(msgspec.Struct, frozen=True, kw_only=True, tag="pools"):
     """Asks for the load of the pools, and lists all workers that are to be drained."""
 
     partition: int
@@ -52,7 +52,7 @@
     sent_wall_ms: int
 
 
-Question = JobQuestion | QueueQuestion | PoolsAsked | LayoutAsked | StoreAsked
+Question = JobQuestion | QueueQuestion | PoolsQuestion | LayoutAsked | StoreAsked
 
 
 class JobAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="job"):
@@ -103,7 +103,7 @@
     """Number of long-running tasks of each worker that has any."""
 
 
-class PoolsTold(msgspec.Struct, frozen=True, kw_only=True, tag="pools"):
+class PoolsAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="pools"):
     """The load of each pool of a partition."""
 
     pools: list[PoolLoad]
@@ -128,7 +128,7 @@
     detail: str = ""
 
 
-Answer = JobAnswer | QueueAnswer | PoolsTold | LayoutTold | StoreTold | NotOwner
+Answer = JobAnswer | QueueAnswer | PoolsAnswer | LayoutTold | StoreTold | NotOwner
 
 
 def encode_message(message: Question | Answer) -> bytes:
--- a/tests/questions/test_messages.py
+++ b/tests/questions/test_messages.py
@@ -17,8 +17,8 @@
     Need,
     NotOwner,
     PoolLoad,
-    PoolsAsked,
-    PoolsTold,
+    PoolsAnswer,
+    PoolsQuestion,
     Question,
     QueueAnswer,
     QueueQuestion,
@@ -43,7 +43,7 @@
     [
         JobQuestion(partition=1, job_id="aa"),
         QueueQuestion(partition=2, queue="quotes"),
-        PoolsAsked(partition=3, leaving=["w0"], due=["w1"]),
+        PoolsQuestion(partition=3, leaving=["w0"], due=["w1"]),
         LayoutAsked(partition=-1),
     ],
 )
@@ -56,7 +56,7 @@
     [
         JobAnswer(state="active"),
         QueueAnswer(pending=7),
-        PoolsTold(pools=[LOAD]),
+        PoolsAnswer(pools=[LOAD]),
         LayoutTold(layout=Layout(shares={"desk": (0, 3)}, places={"m1": 4}, homes={"desk": 9})),
         NotOwner(),
     ],
