--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -33,8 +33,8 @@
 from heatherkeel.questions.links import QuestionLinks
 from heatherkeel.questions.messages import (
     Answer,
-    LayoutAsked,
-    LayoutTold,
+    LayoutAnswer,
+    LayoutQuestion,
     QueueQuestion,
     StoreAsked,
 )
@@ -170,8 +170,8 @@
         """Ask owners, one after the other, how services are laid out."""
         await self.holders.async_refresh()
         for address in sorted(set(self.holders.addresses.values())):
-            answer = await self.links.async_ask(address, LayoutAsked(partition=-1))
-            if isinstance(answer, LayoutTold) and answer.layout.shares:
+            answer = await self.links.async_ask(address, LayoutQuestion(partition=-1))
+            if isinstance(answer, LayoutAnswer) and answer.layout.shares:
                 return answer.layout
         return None
 
--- a/heatherkeel/questions/answering.py
+++ b/heatherkeel/questions/answering.py
@@ -10,8 +10,8 @@
     Answer,
     JobAnswer,
     JobQuestion,
-    LayoutAsked,
-    LayoutTold,
+    LayoutAnswer,
+    LayoutQuestion,
     NotOwner,
     PoolsAnswer,
     PoolsQuestion,
@@ -28,8 +28,8 @@
 
     An owner whose copy of its partition may be outdated must not report a job as unknown.
     """
-    if isinstance(question, LayoutAsked):
-        return LayoutTold(layout=layout)
+    if isinstance(question, LayoutQuestion):
+        return LayoutAnswer(layout=layout)
     assert not isinstance(question, StoreAsked), "answered by the relay"
     owner = owners.get(question.partition)
     if owner is None or not owner.is_restored:
--- a/heatherkeel/questions/messages.py
+++ b/heatherkeel/questions/messages.py
@@ -32,7 +32,7 @@
     """Workers whose machines are due for maintenance: long-running tasks avoid them."""
 
 
-class LayoutAsked(msgspec.Struct, frozen=True, kw_only=True, tag="layout"):
+class LayoutQuestion(msgspec.Struct, frozen=True, kw_only=True, tag="layout"):
     """Asks for the layout; also answered by processes that own no partition."""
 
     partition: int
@@ -52,7 +52,7 @@
     sent_wall_ms: int
 
 
-Question = JobQuestion | QueueQuestion | PoolsQuestion | LayoutAsked | StoreAsked
+Question = JobQuestion | QueueQuestion | PoolsQuestion | LayoutQuestion | StoreAsked
 
 
 class JobAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="job"):
@@ -109,7 +109,7 @@
     pools: list[PoolLoad]
 
 
-class LayoutTold(msgspec.Struct, frozen=True, kw_only=True, tag="layout"):
+class LayoutAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="layout"):
     """The layout as known to the process that was asked; empty if it isn't known."""
 
     layout: Layout
@@ -128,7 +128,7 @@
     detail: str = ""
 
 
-Answer = JobAnswer | QueueAnswer | PoolsAnswer | LayoutTold | StoreTold | NotOwner
+Answer = JobAnswer | QueueAnswer | PoolsAnswer | LayoutAnswer | StoreTold | NotOwner
 
 
 def encode_message(message: Question | Answer) -> bytes:
--- a/tests/questions/test_messages.py
+++ b/tests/questions/test_messages.py
@@ -12,8 +12,8 @@
     Answer,
     JobAnswer,
     JobQuestion,
-    LayoutAsked,
-    LayoutTold,
+    LayoutAnswer,
+    LayoutQuestion,
     Need,
     NotOwner,
     PoolLoad,
@@ -44,7 +44,7 @@
         JobQuestion(partition=1, job_id="aa"),
         QueueQuestion(partition=2, queue="quotes"),
         PoolsQuestion(partition=3, leaving=["w0"], due=["w1"]),
-        LayoutAsked(partition=-1),
+        LayoutQuestion(partition=-1),
     ],
 )
 def test_questions_round_trip(question: Question) -> None:
@@ -57,7 +57,7 @@
         JobAnswer(state="active"),
         QueueAnswer(pending=7),
         PoolsAnswer(pools=[LOAD]),
-        LayoutTold(layout=Layout(shares={"desk": (0, 3)}, places={"m1": 4}, homes={"desk": 9})),
+        LayoutAnswer(layout=Layout(shares={"desk": (0, 3)}, places={"m1": 4}, homes={"desk": 9})),
         NotOwner(),
     ],
 )
