--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -36,7 +36,7 @@
     LayoutAnswer,
     LayoutQuestion,
     QueueQuestion,
-    StoreAsked,
+    RelayQuestion,
 )
 from heatherkeel.relay.answering import StoreRelay
 from heatherkeel.relay.metrics import RelayMetrics
@@ -79,7 +79,7 @@
             answer=lambda question: answer_question(
                 self.owners, self.directory.state.layout, question
             ),
-            async_answer_store=self.relay.async_answer,
+            async_answer_relay=self.relay.async_answer,
             on_heard=lambda: self.isolation.record_contact(),
         )
         partitions = settings.store.partitions
@@ -176,7 +176,7 @@
         return None
 
     async def _async_ask_store(
-        self, address: str, asked: StoreAsked, timeout_s: float
+        self, address: str, asked: RelayQuestion, timeout_s: float
     ) -> Answer | None:
         return await self.links.async_ask(address, asked, timeout_s=timeout_s)
 
--- a/heatherkeel/questions/answering.py
+++ b/heatherkeel/questions/answering.py
@@ -17,7 +17,7 @@
     PoolsQuestion,
     Question,
     QueueAnswer,
-    StoreAsked,
+    RelayQuestion,
 )
 
 
@@ -30,7 +30,7 @@
     """
     if isinstance(question, LayoutQuestion):
         return LayoutAnswer(layout=layout)
-    assert not isinstance(question, StoreAsked), "answered by the relay"
+    assert not isinstance(question, RelayQuestion), "answered by the relay"
     owner = owners.get(question.partition)
     if owner is None or not owner.is_restored:
         return NotOwner()
--- a/heatherkeel/questions/links.py
+++ b/heatherkeel/questions/links.py
@@ -17,7 +17,7 @@
 from .messages import (
     Answer,
     Question,
-    StoreAsked,
+    RelayQuestion,
     decode_answer,
     decode_question,
     encode_message,
@@ -84,12 +84,12 @@
         *,
         bind: str,
         answer: Callable[[Question], Answer],
-        async_answer_store: Callable[[StoreAsked], Awaitable[Answer]],
+        async_answer_relay: Callable[[RelayQuestion], Awaitable[Answer]],
         on_heard: Callable[[], None] = lambda: None,
     ) -> None:
         self.address = bind
         self.answer = answer
-        self.async_answer_store = async_answer_store
+        self.async_answer_relay = async_answer_relay
         self.on_heard = on_heard
         self.context: zmq.Context[zmq.Socket[bytes]] = zmq.Context(io_threads=1)
         self.router = EdgeSocket(context=self.context, kind=zmq.ROUTER, handle=self._handle_frames)
@@ -116,7 +116,9 @@
     ) -> Answer | None:
         """Ask the process at an address; returns None if no answer arrives in time."""
         if address == self.address:
-            assert not isinstance(question, StoreAsked), "a process never relays a call to itself"
+            assert not isinstance(
+                question, RelayQuestion
+            ), "a process never relays a call to itself"
             return self.answer(question)
         self._close_unused()
         link = self.links.get(address)
@@ -145,15 +147,15 @@
             return
         self.on_heard()
         question = decoded.ok_value
-        if isinstance(question, StoreAsked):
+        if isinstance(question, RelayQuestion):
             assert self.nursery is not None
             self.nursery.start_soon(self._async_reply_to_relay, frames, question)
             return
         self._reply(frames, self.answer(question))
 
-    async def _async_reply_to_relay(self, frames: Frames, question: StoreAsked) -> None:
+    async def _async_reply_to_relay(self, frames: Frames, question: RelayQuestion) -> None:
         """Answer a question that needs a call to the store, without blocking other questions."""
-        self._reply(frames, await self.async_answer_store(question))
+        self._reply(frames, await self.async_answer_relay(question))
 
     def _reply(self, frames: Frames, answer: Answer) -> None:
         self.router.send([frames[0], frames[1], encode_message(answer)])
--- a/heatherkeel/questions/messages.py
+++ b/heatherkeel/questions/messages.py
@@ -38,7 +38,7 @@
     partition: int
 
 
-class StoreAsked(msgspec.Struct, frozen=True, kw_only=True, tag="store"):
+class RelayQuestion(msgspec.Struct, frozen=True, kw_only=True, tag="store"):
     """Asks a process to relay a call to the store, which refuses the calls of the asking one.
 
     It concerns no partition of the process that is asked.
@@ -52,7 +52,7 @@
     sent_wall_ms: int
 
 
-Question = JobQuestion | QueueQuestion | PoolsQuestion | LayoutQuestion | StoreAsked
+Question = JobQuestion | QueueQuestion | PoolsQuestion | LayoutQuestion | RelayQuestion
 
 
 class JobAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="job"):
@@ -119,7 +119,7 @@
     """The process that was asked doesn't own the partition, or hasn't restored its jobs yet."""
 
 
-class StoreTold(msgspec.Struct, frozen=True, kw_only=True, tag="store"):
+class RelayAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="store"):
     """The store's answer; `failure` is set if there is none."""
 
     status: int = 0
@@ -128,7 +128,7 @@
     detail: str = ""
 
 
-Answer = JobAnswer | QueueAnswer | PoolsAnswer | LayoutAnswer | StoreTold | NotOwner
+Answer = JobAnswer | QueueAnswer | PoolsAnswer | LayoutAnswer | RelayAnswer | NotOwner
 
 
 def encode_message(message: Question | Answer) -> bytes:
--- a/heatherkeel/relay/answering.py
+++ b/heatherkeel/relay/answering.py
@@ -8,7 +8,7 @@
 from heatherkeel.platform.errors import Failure
 from heatherkeel.platform.route import StoreCall
 from heatherkeel.platform.store import StoreClient
-from heatherkeel.questions.messages import StoreAsked, StoreTold
+from heatherkeel.questions.messages import RelayAnswer, RelayQuestion
 
 from .const import LARGEST_BODY, MOST_AT_ONCE, OLDEST_MS
 from .metrics import RelayMetrics, Served
@@ -22,7 +22,7 @@
         self.metrics = metrics
         self.under_way = 0
 
-    async def async_answer(self, asked: StoreAsked) -> StoreTold:
+    async def async_answer(self, asked: RelayQuestion) -> RelayAnswer:
         """Make one call, and tell the store's answer or why there is none."""
         call = StoreCall(
             method=asked.method, target=asked.target, body=asked.body, timeout_s=asked.timeout_s
@@ -30,7 +30,7 @@
         refusal = self._find_refusal(call, sent_wall_ms=asked.sent_wall_ms)
         if refusal is not None:
             self.metrics.count_served(refusal)
-            return StoreTold(failure=Failure.REFUSED, detail=refusal.value)
+            return RelayAnswer(failure=Failure.REFUSED, detail=refusal.value)
         self.under_way += 1
         try:
             answer = await self.store.async_make(call)
@@ -38,13 +38,13 @@
             self.under_way -= 1
         if isinstance(answer, Err):
             self.metrics.count_served(Served.FAILED)
-            return StoreTold(failure=answer.err_value.failure, detail=answer.err_value.detail)
+            return RelayAnswer(failure=answer.err_value.failure, detail=answer.err_value.detail)
         reply = answer.ok_value
         if len(reply.body) > LARGEST_BODY:
             self.metrics.count_served(Served.TOO_LARGE)
-            return StoreTold(failure=Failure.UNKNOWN, detail=Served.TOO_LARGE.value)
+            return RelayAnswer(failure=Failure.UNKNOWN, detail=Served.TOO_LARGE.value)
         self.metrics.count_served(Served.ANSWERED)
-        return StoreTold(status=reply.status, body=reply.body)
+        return RelayAnswer(status=reply.status, body=reply.body)
 
     def _find_refusal(self, call: StoreCall, *, sent_wall_ms: int) -> Served | None:
         """Say why a call isn't made.
--- a/heatherkeel/relay/route.py
+++ b/heatherkeel/relay/route.py
@@ -14,7 +14,7 @@
 from heatherkeel.platform.caller import HttpCaller, Reply
 from heatherkeel.platform.errors import CallError, Failure
 from heatherkeel.platform.route import DirectRoute, StoreCall
-from heatherkeel.questions.messages import Answer, StoreAsked, StoreTold
+from heatherkeel.questions.messages import Answer, RelayAnswer, RelayQuestion
 
 from .const import (
     FAILURES_TO_REST,
@@ -34,7 +34,7 @@
 """Statuses with which the store does nothing; it may give them to one process only."""
 _GIVEN_UP: Final = "given up: the store turns this process away"
 
-AsyncAsk = Callable[[str, StoreAsked, float], Awaitable[Answer | None]]
+AsyncAsk = Callable[[str, RelayQuestion, float], Awaitable[Answer | None]]
 """Asks the process at an address, for so many seconds at the most."""
 
 
@@ -152,7 +152,7 @@
             return Err(CallError(failure=Failure.REFUSED, detail="no other process to ask"))
         peer = peers[self.turn % len(peers)]
         longest_s = min(call.timeout_s, call.wait_s + LONGEST_FORWARD_S)
-        asked = StoreAsked(
+        asked = RelayQuestion(
             method=call.method,
             target=call.target,
             body=call.body,
@@ -183,7 +183,7 @@
 
 
 def _read_answer(answer: Answer | None) -> Result[Reply, CallError]:
-    if not isinstance(answer, StoreTold):
+    if not isinstance(answer, RelayAnswer):
         return Err(CallError(failure=Failure.UNKNOWN, detail="no answer of the other process"))
     if answer.failure is not None:
         return Err(CallError(failure=answer.failure, detail=answer.detail))
--- a/tests/relay/test_answering.py
+++ b/tests/relay/test_answering.py
@@ -14,7 +14,7 @@
 from heatherkeel.platform.errors import CallError, Failure
 from heatherkeel.platform.route import StoreCall
 from heatherkeel.platform.store import StoreClient
-from heatherkeel.questions.messages import StoreAsked, StoreTold
+from heatherkeel.questions.messages import RelayAnswer, RelayQuestion
 from heatherkeel.relay.answering import StoreRelay
 from heatherkeel.relay.const import LARGEST_BODY, MOST_AT_ONCE, OLDEST_MS
 from heatherkeel.relay.metrics import RelayMetrics, Served
@@ -37,8 +37,8 @@
     return StoreRelay(store=cast(StoreClient, store), metrics=metrics)
 
 
-def ask(target: str = "/heatherkeel/log-join", *, age_ms: int = 0) -> StoreAsked:
-    return StoreAsked(
+def ask(target: str = "/heatherkeel/log-join", *, age_ms: int = 0) -> RelayQuestion:
+    return RelayQuestion(
         method="POST", target=target, body=b"{}", timeout_s=0.5, sent_wall_ms=wall_ms() - age_ms
     )
 
@@ -46,7 +46,7 @@
 def test_call_is_made_and_its_answer_told() -> None:
     store = FakeStore()
     told = trio.run(make_relay(store).async_answer, ask())
-    assert told == StoreTold(status=200, body=b"done")
+    assert told == RelayAnswer(status=200, body=b"done")
     assert [call.target for call in store.made] == ["/heatherkeel/log-join"]
 
 
@@ -60,7 +60,7 @@
     ],
 )
 def test_call_that_is_not_for_the_store_or_comes_late_is_not_made(
-    asked: StoreAsked, why: Served
+    asked: RelayQuestion, why: Served
 ) -> None:
     """A partition holds a renewal up, and the member has left by the time that it heals.
 
--- a/tests/relay/test_route.py
+++ b/tests/relay/test_route.py
@@ -13,7 +13,7 @@
 from heatherkeel.platform.caller import HttpCaller, Reply
 from heatherkeel.platform.errors import CallError, Failure
 from heatherkeel.platform.route import StoreCall
-from heatherkeel.questions.messages import Answer, StoreAsked, StoreTold
+from heatherkeel.questions.messages import Answer, RelayAnswer, RelayQuestion
 from heatherkeel.relay.const import (
     FAILURES_TO_TURN,
     FORWARD_MARGIN_S,
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self.direct: Result[Reply, CallError] = Ok(DONE)
-        self.peer: Answer | None = StoreTold(status=200, body=b"by peer")
+        self.peer: Answer | None = RelayAnswer(status=200, body=b"by peer")
         self.tried: list[str] = []
         self.route = PeerRoute(
             list_peers=lambda: ["p1", "p2"],
@@ -50,7 +50,9 @@
             metrics=RelayMetrics(registry=CollectorRegistry()),
         )
 
-    async def async_ask(self, address: str, asked: StoreAsked, timeout_s: float) -> Answer | None:
+    async def async_ask(
+        self, address: str, asked: RelayQuestion, timeout_s: float
+    ) -> Answer | None:
         self.tried.append(address)
         if self.peer is None:
             await trio.sleep(timeout_s)
@@ -128,7 +130,7 @@
     await scene.async_turn_away()
     scene.peer = None
     assert isinstance(await scene.async_make(), Err)
-    scene.peer = StoreTold(status=200, body=b"by peer")
+    scene.peer = RelayAnswer(status=200, body=b"by peer")
     assert await scene.async_make() == Ok(Reply(status=200, body=b"by peer"))
     assert scene.take_tried() == ["p1", "direct", "p2"]
 
@@ -144,7 +146,7 @@
     """
     scene = Scene()
     scene.direct = Ok(BUSY)
-    scene.peer = StoreTold(status=503)
+    scene.peer = RelayAnswer(status=503)
     assert await scene.async_make() == Ok(BUSY)
     assert scene.take_tried() == ["direct", "p1"]
     assert await scene.async_make() == Ok(BUSY)
@@ -171,7 +173,7 @@
     assert made.err_value.failure is Failure.UNKNOWN
     await trio.sleep(REST_S)
     scene.direct = SILENCE
-    scene.peer = StoreTold(failure=Failure.REFUSED, detail="ConnectError")
+    scene.peer = RelayAnswer(failure=Failure.REFUSED, detail="ConnectError")
     made = await scene.async_make()
     assert isinstance(made, Err)
     assert made.err_value.failure is Failure.UNKNOWN
@@ -235,7 +237,7 @@
     began_s = trio.current_time()
     assert isinstance(await scene.async_make(READ), Err)
     assert trio.current_time() - began_s <= READ.wait_s + LONGEST_FORWARD_S + FORWARD_MARGIN_S
-    scene.peer = StoreTold(status=200, body=b"by peer")
+    scene.peer = RelayAnswer(status=200, body=b"by peer")
     assert isinstance(await scene.async_make(READ), Ok)
     assert scene.take_tried() == ["p1", "p2"]
 
