--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -80,7 +80,7 @@
                 self.owners, self.directory.state.layout, question
             ),
             async_answer_relay=self.relay.async_answer,
-            on_heard=lambda: self.isolation.record_contact(),
+            on_question=lambda: self.isolation.record_contact(),
         )
         partitions = settings.store.partitions
         self.layouts = LayoutReader(
--- a/heatherkeel/questions/links.py
+++ b/heatherkeel/questions/links.py
@@ -85,12 +85,12 @@
         bind: str,
         answer: Callable[[Question], Answer],
         async_answer_relay: Callable[[RelayQuestion], Awaitable[Answer]],
-        on_heard: Callable[[], None] = lambda: None,
+        on_question: Callable[[], None] = lambda: None,
     ) -> None:
         self.address = bind
         self.answer = answer
         self.async_answer_relay = async_answer_relay
-        self.on_heard = on_heard
+        self.on_question = on_question
         self.context: zmq.Context[zmq.Socket[bytes]] = zmq.Context(io_threads=1)
         self.router = EdgeSocket(context=self.context, kind=zmq.ROUTER, handle=self._handle_frames)
         self.links: dict[str, QuestionLink] = {}
@@ -145,7 +145,7 @@
                 extra={"event": "question_unreadable", "detail": decoded.err_value},
             )
             return
-        self.on_heard()
+        self.on_question()
         question = decoded.ok_value
         if isinstance(question, RelayQuestion):
             assert self.nursery is not None
