--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -9,10 +9,10 @@
 import trio
 
 from heatherkeel.directory.directory import Directory
-from heatherkeel.directory.follower import TopicFollower, async_read_whole
+from heatherkeel.directory.follower import TopicFollower, async_read_newest_with_retry
 from heatherkeel.helpers.clock import monotonic_ms, wall_ms
 from heatherkeel.ownership.const import JOBS_TOPIC, WORK_TOPIC
-from heatherkeel.ownership.tenure import Tenure
+from heatherkeel.ownership.partition_ownership import PartitionOwnership
 from heatherkeel.platform.framing import KeyedRecord
 from heatherkeel.platform.operator import WorkerEntry
 from heatherkeel.platform.settings import InstanceSettings
@@ -70,7 +70,7 @@
         settings: InstanceSettings,
         store: StoreClient,
         directory: Directory,
-        tenure: Tenure,
+        ownership: PartitionOwnership,
         metrics: DispatchMetrics,
         on_fenced: Callable[[], None],
     ) -> None:
@@ -78,7 +78,7 @@
         self.settings = settings
         self.store = store
         self.directory = directory
-        self.tenure = tenure
+        self.ownership = ownership
         self.metrics = metrics
         self.on_fenced = on_fenced
         self.state = PartitionState(
@@ -133,7 +133,7 @@
         Leases are renewed for as long only: the next owner counts on that. They outlast the
         membership by some seconds, so that usual outages of the store end no task.
         """
-        return self.tenure.is_valid(monotonic_ms())
+        return self.ownership.is_valid(monotonic_ms())
 
     def is_current(self) -> bool:
         """Say whether what isn't known here isn't stored either, but for the last moments.
@@ -170,8 +170,8 @@
         await self.directory.workers.caught_up.wait()
         if not await self.journal.async_open():
             await trio.sleep_forever()
-        work = await async_read_whole(self.store, WORK_TOPIC, self.partition)
-        jobs = await async_read_whole(self.store, JOBS_TOPIC, self.partition)
+        work = await async_read_newest_with_retry(self.store, WORK_TOPIC, self.partition)
+        jobs = await async_read_newest_with_retry(self.store, JOBS_TOPIC, self.partition)
         self.jobs_end = jobs.end
         now_ms, wall_ms = self.times()
         self.state.now_ms, self.state.wall_ms = now_ms, wall_ms
@@ -269,8 +269,8 @@
             store=self.store,
             topic=JOBS_TOPIC,
             partition=self.partition,
-            take=self._take_job_records,
-            keep_only=lambda keys: None,
+            on_records=self._take_job_records,
+            on_keys=lambda keys: None,
             wait_ms=FOLLOW_WAIT_MS,
         )
         follower.next_offset = self.jobs_end
@@ -297,11 +297,11 @@
     def _find_outdated(self, now_ms: int) -> frozenset[str]:
         """Return the workers whose rooms may have shrunk so long ago that it counts by now."""
         since_ms = now_ms - self.entry_age_ms
-        heard_ms = self.directory.state.heard_ms
+        received_ms = self.directory.state.received_ms
         return frozenset(
             worker_id
             for worker_id in self.state.workers
-            if heard_ms.get(worker_id, now_ms) < since_ms
+            if received_ms.get(worker_id, now_ms) < since_ms
         )
 
     def _perform(self, effect: Effect) -> None:
--- a/heatherkeel/gateway/lookup.py
+++ b/heatherkeel/gateway/lookup.py
@@ -12,17 +12,17 @@
 from heatherkeel.dispatch.recovery import StoredJobs, read_records
 from heatherkeel.helpers.clock import monotonic_ms
 from heatherkeel.ownership.const import JOBS_TOPIC, WORK_TOPIC
-from heatherkeel.ownership.holders import Holders
+from heatherkeel.ownership.holders import HolderCache
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.questions.links import QuestionLinks
 from heatherkeel.questions.messages import (
     Answer,
-    JobAsked,
-    JobTold,
+    JobAnswer,
+    JobQuestion,
     NotOwner,
     Question,
-    QueueAsked,
-    QueueTold,
+    QueueAnswer,
+    QueueQuestion,
 )
 
 from .const import RECENT_MS, STORED_MAX_AGE_MS
@@ -41,7 +41,7 @@
     """Asks owners, and the store in their place; remembers what this front has accepted."""
 
     store: StoreClient
-    holders: Holders
+    holders: HolderCache
     links: QuestionLinks
     recent: dict[str, int] = field(default_factory=dict)
     readings: dict[int, StoredReading] = field(default_factory=dict)
@@ -55,8 +55,8 @@
 
     async def async_find_state(self, partition: int, job_id: str) -> JobState | Err[str] | None:
         """Return a job's state, None if there is no such job, `Err` if nobody could tell."""
-        told = await self._async_ask(partition, JobAsked(partition=partition, job_id=job_id))
-        if isinstance(told, JobTold):
+        told = await self._async_ask(partition, JobQuestion(partition=partition, job_id=job_id))
+        if isinstance(told, JobAnswer):
             state = JobState(told.state) if told.state else None
         else:
             found = await self._async_find_stored(partition, job_id)
@@ -68,8 +68,8 @@
 
     async def async_is_taken(self, partition: int, job_id: str) -> bool:
         """Say whether a partition's owner has read a job from the store, so that it is accepted."""
-        told = await self._async_ask(partition, JobAsked(partition=partition, job_id=job_id))
-        return isinstance(told, JobTold) and bool(told.state)
+        told = await self._async_ask(partition, JobQuestion(partition=partition, job_id=job_id))
+        return isinstance(told, JobAnswer) and bool(told.state)
 
     async def async_count_pending(self, partitions: Sequence[int], queue: str) -> int | None:
         """Return how many jobs of a queue wait in all its partitions; None if one can't be told."""
@@ -85,8 +85,8 @@
         return sum(known) if len(known) == len(counts) else None
 
     async def _async_count_in(self, partition: int, queue: str) -> int | None:
-        told = await self._async_ask(partition, QueueAsked(partition=partition, queue=queue))
-        if isinstance(told, QueueTold):
+        told = await self._async_ask(partition, QueueQuestion(partition=partition, queue=queue))
+        if isinstance(told, QueueAnswer):
             return told.pending
         stored = await self._async_read_stored(partition)
         if isinstance(stored, Err):
@@ -102,7 +102,7 @@
         """Ask the owner; one that fails, or that isn't the owner any more, is looked up anew."""
         failed = ""
         for _ in range(2):
-            address = await self.holders.async_find(partition, but_not=failed)
+            address = await self.holders.async_find(partition, failed_address=failed)
             if not address or address == failed:
                 return None
             answer = await self.links.async_ask(address, question)
--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -20,12 +20,12 @@
 from heatherkeel.gateway.metrics import GatewayMetrics
 from heatherkeel.helpers.server import HttpServer
 from heatherkeel.helpers.signals import StopSignal
-from heatherkeel.ownership.holders import Holders
+from heatherkeel.ownership.holders import HolderCache
 from heatherkeel.ownership.isolation import IsolationWatch
 from heatherkeel.ownership.member import GroupMember
+from heatherkeel.ownership.partition_ownership import OwnershipChange
 from heatherkeel.ownership.partitions import Layout, fleet_partition
 from heatherkeel.ownership.reserve import ReserveWatch
-from heatherkeel.ownership.tenure import Change
 from heatherkeel.platform.settings import InstanceSettings
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.pooling.keeper import FleetKeeper
@@ -33,10 +33,10 @@
 from heatherkeel.questions.links import QuestionLinks
 from heatherkeel.questions.messages import (
     Answer,
-    LayoutAsked,
-    LayoutTold,
-    QueueAsked,
-    StoreAsked,
+    LayoutAnswer,
+    LayoutQuestion,
+    QueueQuestion,
+    RelayQuestion,
 )
 from heatherkeel.relay.answering import StoreRelay
 from heatherkeel.relay.metrics import RelayMetrics
@@ -69,7 +69,7 @@
         self.store = StoreClient(address=settings.store.address, route=route)
         self.relay = StoreRelay(store=self.store, metrics=relay_metrics)
         self.directory = Directory(store=self.store)
-        self.holders = Holders(store=self.store)
+        self.holders = HolderCache(store=self.store)
         self.owners: dict[int, PartitionOwner] = {}
         self.unused: dict[int, int] = {}
         """Partitions that were gained and that no service has, with their tokens."""
@@ -79,8 +79,8 @@
             answer=lambda question: answer_question(
                 self.owners, self.directory.state.layout, question
             ),
-            async_answer_store=self.relay.async_answer,
-            on_heard=lambda: self.isolation.take_heard(),
+            async_answer_relay=self.relay.async_answer,
+            on_question=lambda: self.isolation.record_contact(),
         )
         partitions = settings.store.partitions
         self.layouts = LayoutReader(
@@ -93,13 +93,13 @@
             store=self.store,
             address=self.links.address,
             incarnation=uuid.uuid4().hex[:12],
-            room=settings.limits.room(),
+            capacity=settings.limits.room(),
             on_change=self._async_change,
         )
         self.reserve = ReserveWatch(
             member=self.member,
             holders=self.holders,
-            room=settings.limits.room(),
+            capacity=settings.limits.room(),
             partitions=partitions,
         )
         self.isolation = IsolationWatch(
@@ -170,22 +170,22 @@
         """Ask owners, one after the other, how services are laid out."""
         await self.holders.async_refresh()
         for address in sorted(set(self.holders.addresses.values())):
-            answer = await self.links.async_ask(address, LayoutAsked(partition=-1))
-            if isinstance(answer, LayoutTold) and answer.layout.shares:
+            answer = await self.links.async_ask(address, LayoutQuestion(partition=-1))
+            if isinstance(answer, LayoutAnswer) and answer.layout.shares:
                 return answer.layout
         return None
 
     async def _async_ask_store(
-        self, address: str, asked: StoreAsked, timeout_s: float
+        self, address: str, asked: RelayQuestion, timeout_s: float
     ) -> Answer | None:
         return await self.links.async_ask(address, asked, timeout_s=timeout_s)
 
     async def _async_reach(self, address: str) -> bool:
         """Say whether the process at an address answers; what it answers doesn't matter."""
-        question = QueueAsked(partition=-1, queue="")
+        question = QueueQuestion(partition=-1, queue="")
         return await self.links.async_ask(address, question) is not None
 
-    async def _async_change(self, change: Change) -> None:
+    async def _async_change(self, change: OwnershipChange) -> None:
         """Close what was lost before anything else, and begin with what was gained."""
         fleet = fleet_partition(self.settings.store.partitions)
         for partition in change.lost:
@@ -226,7 +226,7 @@
             settings=self.settings,
             store=self.store,
             directory=self.directory,
-            tenure=self.member.tenure,
+            ownership=self.member.ownership,
             metrics=self.dispatch_metrics,
             on_fenced=self.member.rejoin,
         )
@@ -243,7 +243,7 @@
             directory=self.directory,
             holders=self.holders,
             links=self.links,
-            may_order=self.member.may_order,
+            may_order=self.member.can_issue_orders,
             on_fenced=self.member.rejoin,
         )
         self.nursery.start_soon(self.keeper.async_run)
--- a/heatherkeel/platform/store_answers.py
+++ b/heatherkeel/platform/store_answers.py
@@ -37,8 +37,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Share:
-    """What a member holds: its partitions by topic, under a generation that only rises."""
+class GroupAssignment:
+    """A member's partitions by topic, and the generation of the group, which only rises."""
 
     generation: int
     partitions: dict[str, set[int]]
--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -9,12 +9,12 @@
 from result import Err
 
 from heatherkeel.directory.directory import Directory
-from heatherkeel.directory.follower import async_read_whole
+from heatherkeel.directory.follower import async_read_newest_with_retry
 from heatherkeel.directory.layout_reader import find_layout
 from heatherkeel.dispatch.journal import Journal
 from heatherkeel.helpers.clock import monotonic_ms, wall_ms
 from heatherkeel.ownership.const import LAYOUT_KEY, WORK_TOPIC
-from heatherkeel.ownership.holders import Holders
+from heatherkeel.ownership.holders import HolderCache
 from heatherkeel.ownership.partitions import Layout, extend_layout, fleet_partition
 from heatherkeel.platform.const import STATUS_TOPIC
 from heatherkeel.platform.framing import KeyedRecord
@@ -23,7 +23,7 @@
 from heatherkeel.platform.settings import InstanceSettings
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.questions.links import QuestionLinks
-from heatherkeel.questions.messages import PoolsAsked, PoolsTold
+from heatherkeel.questions.messages import PoolsAnswer, PoolsQuestion
 
 from .const import (
     LAYOUT_WAIT_MS,
@@ -63,7 +63,7 @@
         settings: InstanceSettings,
         store: StoreClient,
         directory: Directory,
-        holders: Holders,
+        holders: HolderCache,
         links: QuestionLinks,
         may_order: Callable[[], bool],
         on_fenced: Callable[[], None],
@@ -116,10 +116,10 @@
         await self.directory.operator.caught_up.wait()
         if not await self.journal.async_open():
             await trio.sleep_forever()
-        own = (await async_read_whole(self.store, WORK_TOPIC, self.partition)).records
+        own = (await async_read_newest_with_retry(self.store, WORK_TOPIC, self.partition)).records
         self.layout = find_layout(own)
         if self.layout is not None:
-            self.directory.take_layout(self.layout)
+            self.directory.apply_layout(self.layout)
         lease_ms = self.settings.bounds.machine_lease_ms
         blocked = await self.orders.async_restore(own, lease_ms=lease_ms)
         self.state.blocked_until_ms.update(blocked)
@@ -191,7 +191,7 @@
             return
         self.layout = layout
         self.journal.put(LAYOUT_KEY, layout.encode)
-        self.journal.when_stored(lambda: self.directory.take_layout(layout))
+        self.journal.when_stored(lambda: self.directory.apply_layout(layout))
 
     def _list_pools(self) -> dict[str, list[str]]:
         """Return the machines of each pool in the order of racks; none while they aren't known.
@@ -214,23 +214,23 @@
         leaving = self.state.leaving_workers()
         async with trio.open_nursery() as nursery:
             for partition in self.state.layout.all_partitions():
-                question = PoolsAsked(
+                question = PoolsQuestion(
                     partition=partition, leaving=leaving.get(partition, []), due=due
                 )
                 nursery.start_soon(self._async_measure_partition, question)
 
-    async def _async_measure_partition(self, question: PoolsAsked) -> None:
+    async def _async_measure_partition(self, question: PoolsQuestion) -> None:
         partition = question.partition
         address = await self.holders.async_find(partition)
         if not address:
             return
         answer = await self.links.async_ask(address, question)
-        if isinstance(answer, PoolsTold):
+        if isinstance(answer, PoolsAnswer):
             self._take(
                 PoolsMeasured(now_ms=monotonic_ms(), partition=partition, loads=answer.pools)
             )
         else:
-            await self.holders.async_find(partition, but_not=address)
+            await self.holders.async_find(partition, failed_address=address)
 
     def _take(self, event: FleetEvent) -> None:
         for effect in reduce_fleet(self.state, event):
--- a/heatherkeel/questions/answering.py
+++ b/heatherkeel/questions/answering.py
@@ -1,4 +1,4 @@
-"""Answers questions from the partitions that this process owns."""
+"""Answers questions about the partitions that this process owns."""
 
 from __future__ import annotations
 
@@ -8,37 +8,40 @@
 
 from .messages import (
     Answer,
-    JobAsked,
-    JobTold,
-    LayoutAsked,
-    LayoutTold,
+    JobAnswer,
+    JobQuestion,
+    LayoutAnswer,
+    LayoutQuestion,
     NotOwner,
-    PoolsAsked,
-    PoolsTold,
+    PoolsAnswer,
+    PoolsQuestion,
     Question,
-    QueueTold,
-    StoreAsked,
+    QueueAnswer,
+    RelayQuestion,
 )
 
 
 def answer_question(
     owners: dict[int, PartitionOwner], layout: Layout, question: Question
 ) -> Answer:
-    """Answer a question; an owner that doesn't read its partition must not say "unknown"."""
-    if isinstance(question, LayoutAsked):
-        return LayoutTold(layout=layout)
-    assert not isinstance(question, StoreAsked), "answered by whoever makes the call"
+    """Answer a question.
+
+    An owner whose copy of its partition may be outdated must not report a job as unknown.
+    """
+    if isinstance(question, LayoutQuestion):
+        return LayoutAnswer(layout=layout)
+    assert not isinstance(question, RelayQuestion), "answered by the relay"
     owner = owners.get(question.partition)
     if owner is None or not owner.is_restored:
         return NotOwner()
-    if isinstance(question, JobAsked):
+    if isinstance(question, JobQuestion):
         job = owner.state.find_job(question.job_id)
         if job is None and not owner.is_current():
             return NotOwner()
-        return JobTold(state=job.state.value if job else "")
-    if isinstance(question, PoolsAsked):
+        return JobAnswer(state=job.state.value if job else "")
+    if isinstance(question, PoolsQuestion):
         owner.take_leaving(frozenset(question.leaving), due=frozenset(question.due))
-        return PoolsTold(pools=measure_pools(owner.state))
+        return PoolsAnswer(pools=measure_pools(owner.state))
     if not owner.is_current():
         return NotOwner()
     pending = sum(
@@ -46,4 +49,4 @@
         for job in owner.state.jobs.values()
         if job.queue == question.queue and not job.has_started()
     )
-    return QueueTold(pending=pending)
+    return QueueAnswer(pending=pending)
--- a/tests/gateway/test_lookup.py
+++ b/tests/gateway/test_lookup.py
@@ -6,12 +6,12 @@
 from result import Err, Ok, Result
 
 from heatherkeel.gateway.lookup import Lookup
-from heatherkeel.ownership.holders import Holders
+from heatherkeel.ownership.holders import HolderCache
 from heatherkeel.platform.errors import CallError, Failure
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.platform.store_answers import NewestRecords
 from heatherkeel.questions.links import QuestionLinks
-from heatherkeel.questions.messages import Answer, NotOwner, Question, QueueTold
+from heatherkeel.questions.messages import Answer, NotOwner, Question, QueueAnswer
 
 
 class FakeStore(StoreClient):
@@ -29,10 +29,10 @@
         return Ok(NewestRecords(end=0, records=[], has_more=False))
 
 
-class FakeHolders(Holders):
+class FakeHolderCache(HolderCache):
     """Every partition has an owner, at an address with its number."""
 
-    async def async_find(self, partition: int, *, but_not: str = "") -> str:
+    async def async_find(self, partition: int, *, failed_address: str = "") -> str:
         """Return the owner's address."""
         return f"owner-{partition}"
 
@@ -48,13 +48,13 @@
     ) -> Answer | None:
         """Answer for the owner at an address."""
         pending = self.pending.get(question.partition)
-        return NotOwner() if pending is None else QueueTold(pending=pending)
+        return NotOwner() if pending is None else QueueAnswer(pending=pending)
 
 
 def count(pending: dict[int, int], *, down: set[int] | None = None) -> int | None:
     """Ask for the length of a queue with three partitions."""
     store = FakeStore(down=down or set())
-    lookup = Lookup(store=store, holders=FakeHolders(store=store), links=FakeLinks(pending))
+    lookup = Lookup(store=store, holders=FakeHolderCache(store=store), links=FakeLinks(pending))
     return trio.run(lookup.async_count_pending, (0, 1, 2), "quotes")
 
 
--- a/tests/questions/test_messages.py
+++ b/tests/questions/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between processes are read whole or not at all."""
+"""Messages between processes are decoded completely or rejected."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from heatherkeel.ownership.partitions import Layout
 from heatherkeel.questions.messages import (
     Answer,
-    JobAsked,
-    JobTold,
-    LayoutAsked,
-    LayoutTold,
+    JobAnswer,
+    JobQuestion,
+    LayoutAnswer,
+    LayoutQuestion,
     Need,
     NotOwner,
     PoolLoad,
-    PoolsAsked,
-    PoolsTold,
+    PoolsAnswer,
+    PoolsQuestion,
     Question,
-    QueueAsked,
-    QueueTold,
+    QueueAnswer,
+    QueueQuestion,
     decode_answer,
     decode_question,
     encode_message,
@@ -41,31 +41,31 @@
 @pytest.mark.parametrize(
     "question",
     [
-        JobAsked(partition=1, job_id="aa"),
-        QueueAsked(partition=2, queue="quotes"),
-        PoolsAsked(partition=3, leaving=["w0"], due=["w1"]),
-        LayoutAsked(partition=-1),
+        JobQuestion(partition=1, job_id="aa"),
+        QueueQuestion(partition=2, queue="quotes"),
+        PoolsQuestion(partition=3, leaving=["w0"], due=["w1"]),
+        LayoutQuestion(partition=-1),
     ],
 )
-def test_questions_arrive_as_they_were_asked(question: Question) -> None:
+def test_questions_round_trip(question: Question) -> None:
     assert decode_question(encode_message(question)).unwrap() == question
 
 
 @pytest.mark.parametrize(
     "answer",
     [
-        JobTold(state="active"),
-        QueueTold(pending=7),
-        PoolsTold(pools=[LOAD]),
-        LayoutTold(layout=Layout(shares={"desk": (0, 3)}, places={"m1": 4}, homes={"desk": 9})),
+        JobAnswer(state="active"),
+        QueueAnswer(pending=7),
+        PoolsAnswer(pools=[LOAD]),
+        LayoutAnswer(layout=Layout(shares={"desk": (0, 3)}, places={"m1": 4}, homes={"desk": 9})),
         NotOwner(),
     ],
 )
-def test_answers_arrive_as_they_were_given(answer: Answer) -> None:
+def test_answers_round_trip(answer: Answer) -> None:
     assert decode_answer(encode_message(answer)).unwrap() == answer
 
 
 @given(st.binary())
-def test_anything_else_is_an_error_and_no_exception(data: bytes) -> None:
+def test_malformed_messages_return_errors(data: bytes) -> None:
     assert isinstance(decode_question(data), Err)
     assert isinstance(decode_answer(data), Err)
