--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -1,141 +1,136 @@
-"""Times, limits and weights of dispatching."""
+"""Times, limits and weights used by the dispatcher."""
 
 from __future__ import annotations
 
 from typing import Final
 
 LEASE_MS: Final = 6000
-"""Lease of all that runs on a worker, in milliseconds.
+"""Lease of everything that runs on a worker, in milliseconds.
 
-Long enough for a hand-over of the partition (2.5 s until a dead owner's membership runs out, and
-about a second to read its records), so that a change of owners ends no task. Short enough that
-tasks on a worker that is cut off are started elsewhere within some seconds.
+Long enough to outlast a hand-over of the partition, so that a change of owners ends no task; short
+enough that tasks on an unreachable worker soon start elsewhere.
 """
 SLOWEST_CLOCK: Final = 1.02
-"""A worker's clock may be this much slower than ours (the platform's word)."""
+"""Factor by which a worker's clock may be slower than the local one, documented by the platform."""
 LAPSE_MARGIN_MS: Final = 500
-"""Added to the end of a lease before its tasks count as ended, in milliseconds: a task that is
-being killed may take as long as a stop."""
+"""Added to the end of a lease before its tasks count as ended, in milliseconds: killing a task may
+take as long as stopping it."""
 LIST_WAIT_MS: Final = 1000
-"""How long a listing waits for an end where only lasting tasks run, in milliseconds."""
+"""How long a listing waits for an end where only long-running tasks run, in milliseconds."""
 WATCH_WAIT_MS: Final = 500
-"""How long a listing waits where tasks are expected to end, or serve beside tasks that fill, whose
-tails are told for the last half second.
+"""How long a listing waits where tasks are expected to end, or where tail latencies are watched.
 
-Where a twentieth of all calls to workers gets no answer, most workers of a pool in its turn lose a
-listing within seconds. With waits of 2,000 ms its ends, and the room that they free, were seen 3.2
-s late: runs of 0.9 s seemed to take 4 s.
+A listing whose answer is lost delays the ends it would have reported by its whole wait.
 """
 MAX_LISTING_AGE_MS: Final = 100
-"""How old a listing may be whose ends are acknowledged, in milliseconds. A worker takes longer to
-start again, and storing the ends usually takes a tenth of it."""
+"""Maximum age of a listing whose ends are acknowledged, in milliseconds. A worker takes longer than
+this to restart."""
 IDLE_LIST_MS: Final = 4000
-"""Pause between listings of a worker on which nothing runs; each look at a worker is priced."""
+"""Pause between listings of a worker that runs nothing, in milliseconds; each listing is charged
+for."""
 FAILED_LIST_PAUSE_MS: Final = 300
-"""Pause after a listing that failed, in milliseconds."""
+"""Pause after a failed listing, in milliseconds."""
 TICK_MS: Final = 100
-"""Time between looks at what is due, in milliseconds."""
+"""Interval between ticks, in milliseconds."""
 ESTIMATE_SLACK: Final = 0.2
-"""Share of its remaining work by which a step may be behind and still count as in time:
-declared durations are off by about as much."""
+"""Fraction of its remaining work by which a step may be behind and still count as in time, since
+declared durations are inaccurate."""
 LATER_BY_WORK: Final = 0.64
-"""By how many milliseconds a step is put back for each millisecond of a worker's whole processor
-that it and the steps behind it ask for. Of two jobs that are due at about the same time the smaller
-goes first: in simulated turns 0.87 instead of 0.83 of the jobs were in time."""
+"""Milliseconds by which a step is put back for each millisecond of a worker's whole processor that
+it and the steps behind it ask for, so that of jobs due at about the same time the smaller goes
+first."""
 BACKLOG_MS: Final = 2000
-"""From so much work of steps in time on, as milliseconds of the pool's whole processor, the
-smallest go first. Objectives leave a second or two of waiting; at 500 ms a simulated turn that was
-met had 0.02 more of its jobs late."""
+"""Work of steps in time, in milliseconds of the pool's whole processor, from which the smallest
+steps go first."""
 LAST_CHANCE_MS: Final = 600
-"""How long before its job is worth nothing a late step may go first, in milliseconds."""
+"""How long before its job becomes worthless a late step may go first, in milliseconds."""
 RESCUE_MS: Final = 90
-"""Work that may go first so at any time, as milliseconds of the pool's whole processor: a sixth of
-the time above."""
+"""Work of late steps that may go first at any time, in milliseconds of the pool's whole
+processor."""
 MAX_MISFITS: Final = 40
-"""Steps that don't fit in a row before a pass ends: a bound on the work of one event."""
+"""Steps in a row that don't fit before a placement pass ends, which bounds the work per event."""
 GREY_FAILURES: Final = 3
-"""Failed ends in a row, of different jobs, that set a worker aside. A task fails by its own
-fault in less than one of thirty runs, so three in a row by chance are rarer than 1 in 20,000."""
+"""Failed ends in a row, of different jobs, after which a worker is quarantined."""
 GREY_PAUSE_MS: Final = 5000
-"""How long a worker that fails everything is set aside, in milliseconds."""
+"""How long a worker stays quarantined, in milliseconds."""
 MAX_SET_ASIDE: Final = 0.34
-"""Share of a pool's workers that may be set aside at once: beyond it the jobs are the likelier
-cause, and a pool without workers serves nobody."""
+"""Fraction of a pool's workers that may be quarantined at once; beyond it the jobs are the likelier
+cause."""
 MAX_SOLE_CRASHES: Final = 2
-"""Workers that may be lost in a row under a task before its job is given up, if the last was lost
-right after the task began there, and only this job was suspected of that."""
+"""Consecutive lost workers after which a task's job is given up, if the last one was lost right
+after the task began there and no other job was suspected."""
 MAX_SUDDEN_CRASHES: Final = 3
-"""The same where other jobs were suspected too: each of them may be the cause."""
+"""The same limit if other jobs were suspected as well."""
 MAX_CRASHES: Final = 4
-"""The same where the last had listed the run, or never said that it began: it may as well have been
-lost later, or before, for another reason."""
+"""The same limit if the last worker had listed the run, or never reported that it began: it may
+have been lost for another reason."""
 MAX_DOUBTFUL_RUNS: Final = 3
-"""Workers that don't answer, or were lost, under a task before no copy of it starts beside them."""
+"""Unresponsive or lost workers under a task before no further copy of it starts."""
 APART_CRASHES: Final = 2
-"""From so many on a task starts only where no task of another job is suspected."""
+"""Crashes from which a task starts only on workers without suspected tasks of other jobs."""
 PROVEN_MS: Final = 2000
-"""A run that its worker has listed for this long isn't suspected, in milliseconds. Most tasks have
-ended by then; lasting ones are lost with many workers that go for reasons of their own."""
+"""How long a worker must have listed a run before the run is no longer suspected of crashing it, in
+milliseconds."""
 FULL_PAUSE_MS: Final = 400
-"""How long a worker that had no room for a start gets no more, in milliseconds, unless a run of its
-own ends. Its entry tells of a smaller room after a second or two."""
+"""How long a worker that refused a start for lack of capacity gets no more work, in milliseconds,
+unless one of its runs ends. Its entry shows a smaller capacity only after a second or two."""
 ENTRY_MARGIN_MS: Final = 500
-"""How much sooner than the platform's word an entry counts as outdated, in milliseconds: readings
-of entries are up to 250 ms apart, and a start takes some time to arrive."""
+"""How much sooner than documented by the platform an entry counts as outdated, in milliseconds: it
+covers the interval between readings and the time that a start takes to arrive."""
 MAX_OPEN_TASKS: Final = 20_000
-"""Tasks of a repeated job's occurrences that are in progress at once. All that is due may be more
-than the memory of its owner's process holds, and of each that takes the partition over."""
+"""Tasks of a repeated job's occurrences that may be in progress at once, which bounds the memory of
+the owner's process."""
 MAX_APPEND_RECORDS: Final = 400
-"""Records of one append at the most, which keeps it well below the store's limit in bytes."""
+"""Maximum number of records in one append, well below the store's limit in bytes."""
 LIVES_INTERVAL_MS: Final = 600
-"""Time between two looks at the list of machines while a worker with tasks is silent, in
-milliseconds. The list names the life that each machine is in, so it tells that a worker has
-crashed seconds before its lease would."""
+"""Interval between readings of the list of machines while a worker with tasks is unresponsive, in
+milliseconds. The list shows a crash seconds before the worker's lease expires."""
 SILENT_MS: Final = 1200
-"""How long a worker must have been silent before that list is believed about it, in milliseconds:
-the list is up to 800 ms old, so it may lack a worker that has just come."""
+"""How long a worker must have been unresponsive before the list of machines is trusted about it, in
+milliseconds: the list is up to 800 ms old, so it may lack a worker that has just started."""
 LEAVING_MS: Final = 2000
-"""How long a worker counts as leaving without being named again, in milliseconds. Longer than
-what the fleet's owner acts on, so nothing starts on a machine that it may still order away."""
+"""How long a worker counts as leaving without being named again, in milliseconds. It must exceed
+the age of the reports that the fleet's owner acts on, so that nothing starts on a machine that may
+still be removed."""
 SENDERS: Final = 2
-"""Orders to one worker on their way at once. One takes about 3 ms, and a pool's turn asks for
-some 15 starts a second of each worker."""
+"""Orders to one worker that may be in flight at once."""
 CURRENT_MS: Final = 1500
-"""An owner that hasn't read its partition for this long doesn't say that a job is unknown, in
+"""Age of the last read of the partition from which an owner no longer reports a job as unknown, in
 milliseconds: callers may rely on a job being known 3,000 ms after it was accepted."""
 FOLLOW_WAIT_MS: Final = 1000
-"""How long a reading of new jobs waits, in milliseconds; below the bound above."""
+"""How long a read of new jobs waits, in milliseconds; must stay below the limit above."""
 ARRIVAL_WINDOW_MS: Final = 800
-"""Time over which the pace of arrivals is measured, in milliseconds."""
+"""Window over which the arrival rate is measured, in milliseconds."""
 UNHEARD_MS: Final = 600
-"""How long a worker must have been silent to count as no room, in milliseconds: one that has lost
-an answer is heard again with the next look, 300 to 500 ms later."""
+"""How long a worker must have been unresponsive before its capacity no longer counts, in
+milliseconds; a worker with one lost answer responds again before that."""
 MAX_NEEDS: Final = 4
-"""Needs of waiting steps that a pool tells at once; the next ones are told when these are met."""
+"""Maximum number of waiting steps' needs that a pool reports at once."""
 LASTING_SHARE: Final = 0.5
-"""Share of a step's lasting tasks that may be on one worker. Spread over all workers of a pool they
-would keep each of its machines from being sent away between the pool's turns."""
+"""Fraction of a step's long-running tasks that may be on one worker. Spread over more workers they
+would keep more machines from being moved."""
 STANDING_MS: Final = 1200
-"""Without any progress for this long a task stands still, in milliseconds. Progress is told in
-whole percent, and the longest tasks take about 5 s, so one that moves shows it every 50 ms."""
+"""Time without progress after which a task is stalled, in milliseconds."""
 FEWEST_STANDING: Final = 2
-"""So many tasks at least, and all of a worker's, have to stand still at once."""
+"""Minimum number of stalled tasks for a worker to count as stalled; all of its tasks must be."""
 PACE_INTERVAL_MS: Final = 450
-"""Time between two looks at a worker's tails, in milliseconds: they are told for the last 500."""
+"""Interval between checks of a worker's tail latencies, in milliseconds; they cover the last
+500."""
 PACE_DOWN_SHARE: Final = 0.85
-"""Share of its target from which on a tail slows down the tasks that fill beside it."""
+"""Fraction of its target from which a tail latency slows down the best-effort tasks beside it."""
 PACE_CALM_SHARE: Final = 0.6
-"""Share of its target up to which a tail lets them speed up."""
+"""Fraction of its target up to which a tail latency lets them speed up."""
 PACE_CALM_STEP: Final = 10
-"""By how much they speed up with one look, in percent."""
+"""By how much they speed up with each check, in percent."""
 PACE_LOWEST: Final = 25
-"""From this pace on the next step down is a stop, in percent."""
+"""Pace from which the next step down is a stop, in percent."""
 MAX_ADVISED: Final = 30
-"""Workers named in one question to the advisor, which takes time for each; an objective allows for
-one question on so many a step."""
+"""Maximum number of workers named in one query to the advisor, which takes time for each."""
 ADVICE_RETRY_MS: Final = 1500
-"""When a question that wasn't answered is asked again, in milliseconds."""
+"""When an unanswered query is repeated, in milliseconds."""
 TICKET_MARGIN_MS: Final = 150
-"""A ticket isn't used in its last milliseconds: a start is stored before it leaves."""
+"""Remaining validity below which a ticket isn't used, in milliseconds: a start is stored before it
+is sent."""
 MAX_LOOKED_AT: Final = 200
-"""Steps of one urgency that one pass looks at, at the most; the next event goes on."""
+"""Maximum number of steps of one urgency that one placement pass examines; the next event
+continues."""
