--- a/heatherkeel/dispatch/__init__.py
+++ b/heatherkeel/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""One partition's jobs: what runs where, decided by the partition's owner alone."""
+"""Dispatching of one partition's jobs to workers by the partition's owner."""
