--- a/heatherkeel/dispatch/dropping.py
+++ b/heatherkeel/dispatch/dropping.py
@@ -1,4 +1,4 @@
-"""Drops from the store what callers sent of jobs that have ended."""
+"""Deletion of the stored requests of ended jobs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RequestDropper:
-    """Gathers drops for a second at a time: nothing waits for them."""
+    """Deletes stored requests in batches, once a second."""
 
     def __init__(self, *, store: StoreClient, partition: int) -> None:
         self.store = store
@@ -22,14 +22,14 @@
         self.drop_wanted = trio.Event()
 
     def drop(self, job_id: str) -> None:
-        """Drop what the caller of an ended job sent."""
+        """Queue the records that the caller of an ended job sent for deletion."""
         for prefix in (REQUEST_PREFIX, CANCEL_PREFIX):
             key = f"{prefix}{job_id}"
             self.dropped[key] = KeyedRecord(key=key, value=b"")
         self.drop_wanted.set()
 
     async def async_run(self) -> None:
-        """Drop requests of ended jobs a second at a time; one that stays is dropped later."""
+        """Append the queued deletions once a second; failed ones are retried."""
         while True:
             await self.drop_wanted.wait()
             await trio.sleep(1.0)
