--- a/heatherkeel/dispatch/ends.py
+++ b/heatherkeel/dispatch/ends.py
@@ -1,4 +1,4 @@
-"""Runs end: done, failed, stopped, or lost with their worker."""
+"""Handling of ended runs: done, failed, stopped, or lost with their worker."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 def find_task(state: PartitionState, name: str) -> Task | None:
-    """Return the task of a name that a worker told; None if it isn't known here, or is none."""
-    job_id, *places = name.rsplit(".", 3)
+    """Return the task with a name listed by a worker; None if it is unknown or invalid."""
+    job_id, *numbers = name.rsplit(".", 3)
     job = state.find_job(job_id)
-    if job is None or len(places) != 3 or not all(place.isdecimal() for place in places):
+    if job is None or len(numbers) != 3 or not all(number.isdecimal() for number in numbers):
         return None
-    occurrence, step, index = map(int, places)
+    occurrence, step, index = map(int, numbers)
     steps = job.occurrences.get(occurrence, [])
     if step >= len(steps) or index >= len(steps[step].tasks):
         return None
@@ -35,7 +35,7 @@
 
 
 def take_end(state: PartitionState, worker: Worker, ended: EndedTask, effects: Effects) -> None:
-    """Take in one end that a worker lists."""
+    """Process one end that a worker has listed."""
     run = worker.runs.get((ended.task, ended.attempt))
     task = run.task if run is not None else find_task(state, ended.task)
     if run is not None:
@@ -73,7 +73,7 @@
 
 
 def finish_task(state: PartitionState, task: Task, effects: Effects) -> None:
-    """Count a task as done; an end of a gang's member stands for all of them."""
+    """Mark a task as done; for a gang, one done task marks all of them."""
     step = task.step
     done = step.tasks if step.request.is_gang else [task]
     for member in done:
@@ -82,7 +82,7 @@
         member.is_done = True
         clear_task(member)
         step.done += 1
-        # An earlier run that had seemed lost may have ended as done meanwhile.
+        # An earlier run that was presumed lost may have ended as done, so stop the later one.
         for run in list(member.runs):
             if not step.request.is_gang:
                 stop_run(state, run, effects)
@@ -105,7 +105,7 @@
 def fail_task(
     state: PartitionState, worker: Worker, task: Task, ended: EndedTask, effects: Effects
 ) -> None:
-    """Count a failed end; the job fails with a task that has used up its attempts."""
+    """Record a failed attempt; the job fails when a task has used up its attempts."""
     job = task.step.job
     step = task.step
     counted = step.tasks if step.request.is_gang else [task]
@@ -121,18 +121,18 @@
             "failures": task.failures(),
         },
     )
-    _suspect_worker(state, worker, job)
+    _record_worker_failure(state, worker, job)
     queue = state.queues.get(job.queue)
     if step.request.lasts or queue is None or task.failures() < queue.max_failures:
         return
     end_job(state, job, JobState.FAILED, effects)
 
 
-def _suspect_worker(state: PartitionState, worker: Worker, job: Job) -> None:
-    """Set a worker aside that has failed several jobs in a row.
+def _record_worker_failure(state: PartitionState, worker: Worker, job: Job) -> None:
+    """Quarantine a worker that has failed several jobs in a row.
 
-    A worker that fails all that it starts is the emptiest of its pool, so it would get most of
-    the work and use up the attempts of job after job.
+    A worker that fails everything is always the emptiest of its pool, so it would get most of the
+    work and use up the attempts of one job after the other.
     """
     if job.id not in worker.failed_jobs:
         worker.failed_jobs.append(job.id)
@@ -150,11 +150,11 @@
     reason: LossReason,
     is_sole: bool = False,
 ) -> None:
-    """Take in that a run surely isn't there, and will never be; its task waits again.
+    """Remove a run that is certainly lost, so that its task can start again.
 
-    `is_sole` says that no other job may have crashed the worker.
+    `is_sole` means that no other job may have crashed the worker.
     """
-    _tell_loss(state, run, reason)
+    _log_loss(state, run, reason)
     effects.add(CountLoss(reason=reason))
     forget_run(state, run)
     task = run.task
@@ -174,10 +174,10 @@
         wait_for_room(state, task.step)
 
 
-def _tell_loss(state: PartitionState, run: Run, reason: LossReason) -> None:
-    """Tell what a run that is lost with its worker may have had to do with that.
+def _log_loss(state: PartitionState, run: Run, reason: LossReason) -> None:
+    """Log a lost run, with what shows whether it may have crashed its worker.
 
-    A worker that was never heard to run it may have gone because of its start.
+    A worker that never listed the run may have crashed right at its start.
     """
     worker = state.workers.get(run.worker_id)
     listed_for_ms = None
