--- a/heatherkeel/dispatch/lives.py
+++ b/heatherkeel/dispatch/lives.py
@@ -1,4 +1,4 @@
-"""Lives of workers: one is met, starts again under the same id, or is over."""
+"""Incarnations of workers: a worker joins, restarts under the same ID, or is gone."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def add_worker(state: PartitionState, worker: Worker) -> None:
-    """Add a life of a worker to its pool."""
+    """Add a worker incarnation to the partition and its pool."""
     state.workers[worker.id] = worker
     find_pool(state, worker.entry.service).workers[worker.id] = worker
 
@@ -25,13 +25,13 @@
 def begin_life(
     state: PartitionState, worker: Worker, effects: Effects, *, entry: WorkerEntry, born: int
 ) -> Worker:
-    """Take in that a worker has started again under its id, and knows nothing of before.
+    """Replace a worker that has restarted under the same ID and lost its state.
 
-    Whatever was known of its earlier life holds no longer: the numbers of its ends, its clock, the
-    lease on that clock. What it had listed ended with it. An order that it hasn't listed may have
-    reached either life, so the new one is asked.
+    End numbers, clock and lease of the earlier incarnation no longer apply, and the runs that it
+    had listed are lost. An unlisted run may have reached either incarnation, so it is kept until
+    the new one has listed its runs.
     """
-    later = Worker(
+    successor = Worker(
         id=worker.id,
         entry=entry,
         born=born,
@@ -42,36 +42,38 @@
         is_due=worker.is_due,
         is_outdated=worker.is_outdated,
     )
-    tell_restart(worker, later)
+    tell_restart(worker, successor)
     for run in list(worker.runs.values()):
         if worker.runs.get(run.key()) is run:
-            _end_with_life(state, run, later, effects)
-    carried = list(worker.runs.values())
+            _end_with_incarnation(state, run, successor, effects)
+    transferred = list(worker.runs.values())
     del find_pool(state, worker.entry.service).workers[worker.id]
-    add_worker(state, later)
+    add_worker(state, successor)
     effects.add(OpenSessions())
-    for run in carried:
-        _carry_over(state, run, later, effects)
-    _drop_tickets(state, later)
+    for run in transferred:
+        _transfer_run(state, run, successor, effects)
+    _drop_tickets(state, successor)
     effects.touch(worker.entry.service)
     effects.touch(entry.service)
-    return later
+    return successor
 
 
-def _end_with_life(state: PartitionState, run: Run, later: Worker, effects: Effects) -> None:
-    """Take a run back that wasn't sent, and give up one that was seen in the earlier life."""
+def _end_with_incarnation(
+    state: PartitionState, run: Run, successor: Worker, effects: Effects
+) -> None:
+    """Cancel a run that wasn't sent, and lose one that the earlier incarnation had listed."""
     if run.state is RunState.PLANNED:
         take_back(state, run, effects)
     elif run.listed_since_ms:
-        is_sole = run.task.step.job is later.sole_suspect
+        is_sole = run.task.step.job is successor.sole_suspect
         lose_run(state, run, effects, reason=LossReason.WORKER_RESTARTED, is_sole=is_sole)
 
 
-def _carry_over(state: PartitionState, run: Run, later: Worker, effects: Effects) -> None:
-    """Count a run at the new life until that lists it, or doesn't."""
-    later.add(run)
+def _transfer_run(state: PartitionState, run: Run, successor: Worker, effects: Effects) -> None:
+    """Count a run on the new incarnation until a listing shows whether it is there."""
+    successor.add(run)
     if run.state is RunState.SENT:
-        # Its answer isn't waited for any more.
+        # No answer is expected any more.
         run.unanswered_ms = state.now_ms
     elif run.state is RunState.STOPPING:
         run.answered_ms = None
@@ -79,7 +81,7 @@
 
 
 def _drop_tickets(state: PartitionState, worker: Worker) -> None:
-    """Drop permissions to run steps on a worker: they were given to its earlier life."""
+    """Drop the tickets for a worker, since they were issued to its earlier incarnation."""
     for step in find_pool(state, worker.entry.service).open_steps:
         step.tickets.pop(worker.id, None)
 
@@ -87,7 +89,7 @@
 def end_life(
     state: PartitionState, worker: Worker, effects: Effects, *, reason: LossReason
 ) -> None:
-    """Take in that a life of a worker is over, whatever its entry says for some seconds more."""
+    """Drop an incarnation that has ended, and ignore its entry while it is still read."""
     earlier = state.gone_lives.get(worker.id, frozenset())
     state.gone_lives[worker.id] = earlier | worker.former | {worker.born}
     drop_worker(state, worker, effects, reason=reason)
@@ -95,9 +97,9 @@
 
 @handles(LivesListed)
 def take_lives(state: PartitionState, event: LivesListed, effects: Effects) -> None:
-    """Give up silent workers whose machines are in another life by now, or down.
+    """End unresponsive workers that the list of machines no longer names.
 
-    A worker that was cut off, and runs on, is still named there.
+    Their machines have restarted or are down; a worker that is only unreachable is still named.
     """
     for worker in list(state.workers.values()):
         is_long = state.now_ms - worker.silent_since_ms >= SILENT_MS
@@ -106,7 +108,7 @@
 
 
 def drop_if_lapsed(state: PartitionState, worker: Worker, effects: Effects) -> None:
-    """Drop a worker that is out of reach once nothing can run on it any more."""
+    """Lose the runs of an unreachable worker whose lease has expired; drop it if unlisted."""
     if not worker.has_lapsed(state.now_ms):
         return
     _lose_runs(state, worker, effects, reason=LossReason.LEASE_LAPSED)
@@ -117,7 +119,7 @@
 def drop_worker(
     state: PartitionState, worker: Worker, effects: Effects, *, reason: LossReason
 ) -> None:
-    """Forget a worker on which surely nothing runs."""
+    """Remove a worker on which certainly nothing runs."""
     _lose_runs(state, worker, effects, reason=reason)
     del state.workers[worker.id]
     del find_pool(state, worker.entry.service).workers[worker.id]
@@ -127,8 +129,8 @@
 def _lose_runs(
     state: PartitionState, worker: Worker, effects: Effects, *, reason: LossReason
 ) -> None:
-    """Take in that all that a worker ran went with it."""
-    sole = find_sole_job(worker)
+    """Lose all runs of a worker."""
+    sole_suspect = find_sole_job(worker)
     for run in list(worker.runs.values()):
-        is_sole = run.task.step.job is sole
+        is_sole = run.task.step.job is sole_suspect
         lose_run(state, run, effects, reason=reason, is_sole=is_sole)
