--- a/heatherkeel/dispatch/pools.py
+++ b/heatherkeel/dispatch/pools.py
@@ -1,4 +1,4 @@
-"""The pools of a partition, and the steps that wait for room in them."""
+"""The pools of a partition, and the steps that wait for capacity in them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def find_pool(state: PartitionState, service: str) -> Pool:
-    """Return a service's pool; a new one has no workers."""
+    """Return a service's pool, created without workers if there is none."""
     pool = state.pools.get(service)
     if pool is None:
         pool = state.pools[service] = Pool(service=service)
@@ -15,13 +15,13 @@
 
 
 def wait_for_room(state: PartitionState, step: Step) -> None:
-    """Let a step's tasks be started when there is room."""
+    """Queue an open step, so that its tasks start when there is capacity."""
     if step.is_open and not step.job.state.is_final():
         find_pool(state, step.job.service).open_steps.add(step, state.now_ms)
 
 
 def forget_run(state: PartitionState, run: Run) -> None:
-    """Take a run that surely isn't there any more out of its task and off its worker."""
+    """Remove a run from its task and its worker; it must be certain that it no longer runs."""
     if run in run.task.runs:
         run.task.runs.remove(run)
     worker = state.workers.get(run.worker_id)
