--- a/heatherkeel/dispatch/session.py
+++ b/heatherkeel/dispatch/session.py
@@ -1,4 +1,4 @@
-"""One owner's conversation with one worker: listings that renew its lease, and orders."""
+"""Calls from a partition's owner to one worker: listings, which renew its lease, and orders."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class WorkerSession:
-    """Calls one life of a worker for the owner of its partition."""
+    """Calls one incarnation of a worker for the owner of its partition."""
 
     def __init__(self, *, owner: PartitionOwner, worker: Worker) -> None:
         self.owner = owner
@@ -55,11 +55,11 @@
         self.work_came.set()
 
     def take_stored(self) -> None:
-        """Hear that ends were stored, so that the next listing can acknowledge them."""
+        """Wake the listing loop after ends were stored, so that it can acknowledge them."""
         self.stored.set()
 
     async def async_run(self) -> None:
-        """Talk to the worker until the owner closes the session."""
+        """Send listings and orders until the owner closes the session."""
         with self.scope:
             async with trio.open_nursery() as nursery:
                 for _ in range(SENDERS):
@@ -69,7 +69,7 @@
             await self.client.close()
 
     def close(self) -> None:
-        """End the conversation; nothing that runs is touched."""
+        """End the session; running tasks are not affected."""
         self.scope.cancel()
 
     async def _async_list(self) -> None:
@@ -80,11 +80,11 @@
             if not await self._async_list_once():
                 await trio.sleep(FAILED_LIST_PAUSE_MS / 1000)
             elif self.worker.told < self.worker.acknowledged:
-                # What is stored may be acknowledged only now: while newer ends are waited for, the
-                # listing would grow too old.
+                # Acknowledge stored ends at once: while waiting for newer ones, the listing would
+                # become too old.
                 continue
             elif self.worker.seen > self.worker.acknowledged:
-                # Ends that aren't acknowledged come again at once, so wait until they may be.
+                # Unacknowledged ends are listed again at once, so wait until they are stored.
                 with trio.move_on_after(LIST_WAIT_MS / 1000):
                     await self.stored.wait()
                 self.stored = trio.Event()
@@ -131,11 +131,11 @@
         if not self.worker.runs:
             return 0
         requests = [run.task.step.request for run in self.worker.runs.values()]
-        is_quiet = all(step.lasts and not step.fills for step in requests)
-        return LIST_WAIT_MS if is_quiet else WATCH_WAIT_MS
+        expects_no_end = all(step.lasts and not step.fills for step in requests)
+        return LIST_WAIT_MS if expects_no_end else WATCH_WAIT_MS
 
     def _lease_until(self) -> int:
-        """Return the end of lease to send, and remember that it was sent."""
+        """Return the end of lease to send, and record it as sent."""
         now_ms = monotonic_ms()
         until_ms = self.worker.clock_at(now_ms) + self.owner.state.lease_ms
         self.worker.lease_until_ms = max(self.worker.lease_until_ms, until_ms)
@@ -154,8 +154,8 @@
     async def _async_start(self, effect: StartTask) -> None:
         run = effect.run
         while not self.owner.may_order():
-            # The membership has run out: others may have been given this partition. Either it
-            # is renewed, or this session is closed.
+            # The membership has expired, so another instance may own this partition. Either it is
+            # renewed, or this session is closed.
             await trio.sleep(FAILED_LIST_PAUSE_MS / 1000)
         if run not in run.task.runs or run.state is not RunState.PLANNED:
             return
@@ -175,7 +175,7 @@
         if error is not None and error.failure is Failure.FENCED:
             self.owner.on_fenced()
         if error is not None:
-            # Whether the worker still answers is found out now, not at the next idle look.
+            # List at once to find out whether the worker still responds.
             self.work_came.set()
         now_ms, wall_ms = self.owner.times()
         self.owner.take(StartAnswered(now_ms=now_ms, wall_ms=wall_ms, run=run, error=error))
@@ -202,5 +202,5 @@
             token=self.owner.state.token,
         )
         if isinstance(paced, Err):
-            # The next look at the tails decides anew, from the pace that is in force.
+            # The next check of the tail latencies sets the pace again.
             run.pace = -1
