--- a/heatherkeel/dispatch/standing.py
+++ b/heatherkeel/dispatch/standing.py
@@ -1,4 +1,4 @@
-"""Finds workers on which tasks stand still, and lets their tasks go on elsewhere."""
+"""Detection of workers with stalled tasks, and quarantine of workers."""
 
 from __future__ import annotations
 
@@ -20,31 +20,33 @@
 
 
 def leave_standing(state: PartitionState, worker: Worker, effects: Effects) -> None:
-    """Set a worker aside on which nothing makes progress, and stop what stands there.
+    """Quarantine a worker on which all tasks are stalled, and stop them to run elsewhere.
 
-    A worker may answer, list its tasks and never end one. Nothing lapses and nothing fails, so
-    its tasks would wait for as long as it stands. One task alone that stands still may be its own
-    fault; several of different ages at once are the worker's.
+    A faulty worker may answer and list its tasks without ever ending one, so no lease expires and
+    no task fails. A single stalled task may be its own fault, so several are needed.
     """
-    runs = [run for run in worker.runs.values() if _can_stand(run)]
-    standing = [run for run in runs if state.now_ms - run.moved_ms >= STANDING_MS]
-    if len(standing) < max(FEWEST_STANDING, len(runs)):
+    runs = [run for run in worker.runs.values() if _can_stall(run)]
+    stalled = [run for run in runs if state.now_ms - run.moved_ms >= STANDING_MS]
+    if len(stalled) < max(FEWEST_STANDING, len(runs)):
         return
-    if not set_aside(state, worker, why=f"{len(standing)} tasks stand still"):
+    if not set_aside(state, worker, why=f"{len(stalled)} tasks stand still"):
         return
-    for run in standing:
+    for run in stalled:
         stop_run(state, run, effects)
 
 
 def set_aside(state: PartitionState, worker: Worker, *, why: str) -> bool:
-    """Give a worker no work for a while, unless too many of its pool get none already."""
+    """Give a worker no work for a while, unless too many workers of its pool are quarantined.
+
+    Returns whether the worker was quarantined.
+    """
     pool = find_pool(state, worker.entry.service)
     aside = sum(1 for other in pool.workers.values() if other.aside_until_ms > state.now_ms)
     if aside + 1 > MAX_SET_ASIDE * len(pool.workers):
         return False
     worker.aside_until_ms = state.now_ms + GREY_PAUSE_MS
     _LOGGER.warning(
-        "worker set aside",
+        "worker quarantined",
         extra={
             "event": "worker_aside",
             "worker": worker.id,
@@ -55,7 +57,7 @@
     return True
 
 
-def _can_stand(run: Run) -> bool:
+def _can_stall(run: Run) -> bool:
     request = run.task.step.request
     is_plain = not request.lasts and not request.is_gang and not request.fills
     return run.state is RunState.RUNNING and is_plain and run.moved_ms > 0
