--- a/heatherkeel/dispatch/suspicion.py
+++ b/heatherkeel/dispatch/suspicion.py
@@ -1,8 +1,7 @@
-"""Which tasks may be what crashes their workers, and how they are kept from doing more harm.
+"""Detection and isolation of tasks that crash their workers.
 
-A task that crashes each worker that starts it would be started on one worker after the other, and
-each takes down all that it runs. All that was lost with a worker is suspected, until it has run for
-a while or is done; what was started beside the cause each time would be taken for it.
+Every task that was lost with a worker is suspected until it has run for a while or is done.
+Suspects are kept apart, so that they don't crash one worker after the other.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-_WITH_ITS_WORKER = frozenset(
+_POSSIBLE_CRASHES = frozenset(
     {
         LossReason.OTHER_LIFE,
         LossReason.ADDRESS_TAKEN,
@@ -31,14 +30,14 @@
         LossReason.WORKER_RESTARTED,
     }
 )
-"""Losses that may be a crash. A lease also lapses on a worker that is cut off, but where the list
-of machines can't be read nothing else tells of a crash."""
+"""Losses that may be a crash. A lease also expires on an unreachable worker, but it is the only
+sign of a crash if the list of machines can't be read."""
 
 
 def find_sole_job(worker: Worker) -> Job | None:
     """Return the only job that may have crashed a worker, if there is just one.
 
-    Any run that was sent there and hasn't proved itself may have.
+    Every unproven run that was sent there is a suspect.
     """
     jobs = {
         run.task.step.job
@@ -49,18 +48,18 @@
 
 
 def count_crash(run: Run, reason: LossReason, *, is_sole: bool) -> bool:
-    """Take in that a run was lost; says whether its task has to be given up.
+    """Count a lost run as a possible crash; returns whether its job has to be given up.
 
-    `is_sole` says that no other job may have crashed the worker. The count is stored with the
-    attempts before the next start leaves, so a next owner goes on from it.
+    `is_sole` means that no other job may have crashed the worker. The count is stored before the
+    next start is sent, so the next owner continues from it.
     """
-    if reason not in _WITH_ITS_WORKER or run.state is RunState.PLANNED or run.is_proven:
+    if reason not in _POSSIBLE_CRASHES or run.state is RunState.PLANNED or run.is_proven:
         return False
     task = run.task
     job = task.step.job
     task.crashes += 1
     job.crashes = max(job.crashes, task.crashes)
-    if task.crashes < _most_allowed(run, is_sole=is_sole):
+    if task.crashes < _crash_limit(run, is_sole=is_sole):
         return False
     _LOGGER.error(
         "job given up: its task crashes workers",
@@ -76,14 +75,14 @@
     return True
 
 
-def _most_allowed(run: Run, *, is_sole: bool) -> int:
+def _crash_limit(run: Run, *, is_sole: bool) -> int:
     if run.listed_since_ms or not run.has_begun:
         return MAX_CRASHES
     return MAX_SOLE_CRASHES if is_sole else MAX_SUDDEN_CRASHES
 
 
 def clear_task(task: Task) -> None:
-    """Suspect a task no more."""
+    """Clear a task of suspicion."""
     if not task.crashes:
         return
     task.crashes = 0
@@ -92,9 +91,9 @@
 
 
 def take_listed(worker: Worker, run: Run, now_ms: int, effects: Effects) -> None:
-    """Take in that a worker still lists a run.
+    """Record that a worker still lists a run, which after a while clears it of suspicion.
 
-    One that stands still has proved nothing, but doesn't keep others off its worker for good.
+    A run without progress stays unproven, but no longer keeps other jobs off its worker.
     """
     if run.is_proven or now_ms - run.listed_since_ms < PROVEN_MS:
         return
@@ -108,37 +107,36 @@
 
 
 def list_choices(step: Step, workers: list[Worker]) -> list[list[Worker]]:
-    """Return the workers to choose from for a step, the best choice first.
+    """Return groups of candidate workers for a step, the preferred group first.
 
-    A worker with a task that is suspected by more than one crash is closed to all other jobs: what
-    started there would go down with it, and be suspected as much. One with a task that is suspected
-    by a single crash, as all are that were lost with a rack, is only avoided; not by lasting tasks,
-    which would keep so many more machines from being sent away. A suspect itself goes where it
-    takes no lasting tasks of others along.
+    A worker with a task suspected of several crashes is closed to other jobs, whose tasks would be
+    lost and suspected with it. A worker with a task suspected of one crash, as after the loss of a
+    rack, is only avoided, but not by long-running tasks: they would spread over more machines and
+    keep them from being moved. A suspect prefers workers without long-running tasks of other jobs.
     """
     job = step.job
     if not job.crashes and not any(worker.suspects for worker in workers):
         return [workers]
-    crashes = {worker.id: _most_crashes(worker, job) for worker in workers}
-    open_to_it = [worker for worker in workers if crashes[worker.id] < APART_CRASHES]
+    crashes = {worker.id: _max_crashes(worker, job) for worker in workers}
+    allowed = [worker for worker in workers if crashes[worker.id] < APART_CRASHES]
     if step.request.lasts and job.crashes < APART_CRASHES:
-        return [open_to_it]
-    calm = [worker for worker in open_to_it if not crashes[worker.id]]
-    choices = [calm, open_to_it]
+        return [allowed]
+    unsuspected = [worker for worker in allowed if not crashes[worker.id]]
+    choices = [unsuspected, allowed]
     if job.crashes:
-        choices.insert(0, [worker for worker in calm if not _has_lasting_of_others(worker, job)])
+        choices.insert(0, [w for w in unsuspected if not _has_long_running_of_others(w, job)])
     return choices
 
 
-def _most_crashes(worker: Worker, job: Job) -> int:
-    """Return the most crashes of a suspect of another job on a worker."""
+def _max_crashes(worker: Worker, job: Job) -> int:
+    """Return the highest crash count of another job's suspects on a worker."""
     return max(
         (run.task.crashes for run in worker.suspects.values() if run.task.step.job is not job),
         default=0,
     )
 
 
-def _has_lasting_of_others(worker: Worker, job: Job) -> bool:
+def _has_long_running_of_others(worker: Worker, job: Job) -> bool:
     return any(
         run.task.step.request.lasts and run.task.step.job is not job for run in worker.runs.values()
     )
