--- a/heatherkeel/dispatch/telling.py
+++ b/heatherkeel/dispatch/telling.py
@@ -1,4 +1,4 @@
-"""What the log is told of workers, as their owner comes to know them."""
+"""Log lines about workers."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def tell_restart(worker: Worker, later: Worker) -> None:
-    """Tell that a worker has started again, and how far its earlier life was known."""
+    """Log that a worker has restarted, with the state known of its earlier incarnation."""
     _LOGGER.info(
-        "a worker has started again",
+        "worker restarted",
         extra={
             "event": "worker_restarted",
             "worker": worker.id,
@@ -30,27 +30,27 @@
 
 
 def tell_worker(worker_id: str, event: str, detail: str) -> None:
-    """Log something that is believed of a worker."""
+    """Log an event of a worker."""
     _LOGGER.info(
         "worker %s", worker_id, extra={"event": event, "worker": worker_id, "detail": detail}
     )
 
 
 def tell_left_out(state: PartitionState, worker_id: str, entry: WorkerEntry) -> None:
-    """Tell once for each life that its entry isn't believed, since the worker counts as gone."""
+    """Log, once per incarnation, that the entry of an ended incarnation is ignored."""
     if state.left_out.get(worker_id) == entry.born:
         return
     state.left_out[worker_id] = entry.born
     _LOGGER.info(
-        "a worker that counts as gone has an entry",
+        "entry of an ended worker incarnation ignored",
         extra={"event": "worker_left_out", "worker": worker_id, "born": entry.born},
     )
 
 
 def tell_heard(worker: Worker, listing: Listing) -> None:
-    """Tell what a worker says of its life, and how far its ends were known."""
+    """Log the first answer of a worker, or the first after it was unresponsive."""
     _LOGGER.info(
-        "worker heard",
+        "worker answered",
         extra={
             "event": "worker_heard",
             "worker": worker.id,
@@ -68,9 +68,9 @@
 
 
 def tell_passed_over(worker: Worker, ended: EndedTask) -> None:
-    """Tell of the end of a run that should be there, under a number that counts as known."""
+    """Log that the end of a known run is ignored, because its number was processed before."""
     _LOGGER.warning(
-        "the end of a run that should be there is passed over, since its number is known",
+        "end of a run ignored, because its number was processed before",
         extra={
             "event": "end_passed_over",
             "task": ended.task,
