--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -1,4 +1,4 @@
-"""Workers write entries, answer, and fall silent."""
+"""Handlers for workers' entries, listings and failed calls."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @handles(WorkersListed)
 def take_entries(state: PartitionState, event: WorkersListed, effects: Effects) -> None:
-    """Take in the workers' entries; one that is missing gets no work, but may still run some."""
+    """Update the workers from their entries; one without an entry may still run tasks."""
     for known in (state.gone_lives, state.left_out):
         for worker_id in known.keys() - event.entries.keys():
             del known[worker_id]
@@ -50,7 +50,7 @@
             add_worker(state, Worker(id=worker_id, entry=entry, born=entry.born))
             tell_worker(worker_id, "worker_listed", entry.service)
         else:
-            _take_entry(state, worker, entry, effects)
+            _update_from_entry(state, worker, entry, effects)
         effects.touch(entry.service)
     for worker in state.workers.values():
         if worker.id not in event.entries and worker.is_listed:
@@ -59,10 +59,10 @@
     leave_workers(state, effects)
 
 
-def _take_entry(
+def _update_from_entry(
     state: PartitionState, worker: Worker, entry: WorkerEntry, effects: Effects
 ) -> None:
-    """Take in what a known worker says of itself; its listings may tell of a new life sooner."""
+    """Update a known worker from its entry; a listing may show a new incarnation earlier."""
     worker.is_listed = True
     if worker.is_earlier_life(entry.born):
         return
@@ -75,19 +75,21 @@
 
 @handles(WorkerAnswered)
 def take_listing(state: PartitionState, event: WorkerAnswered, effects: Effects) -> None:
-    """Take in all that a worker runs and has ended."""
-    worker = _find_life(state, event, effects)
+    """Update a worker from its listing of running and ended tasks."""
+    worker = _find_incarnation(state, event, effects)
     if worker is None:
         return
-    _take_heard(state, worker, event, effects)
-    _take_ends(state, worker, event.listing, effects)
+    _record_answer(state, worker, event, effects)
+    _process_ends(state, worker, event.listing, effects)
     _compare_runs(state, worker, event.listing, event.sent_ms, event.now_ms, effects)
     pace_worker(state, worker, effects)
     leave_standing(state, worker, effects)
 
 
-def _find_life(state: PartitionState, event: WorkerAnswered, effects: Effects) -> Worker | None:
-    """Return the worker in the life that has answered; None if that is over."""
+def _find_incarnation(
+    state: PartitionState, event: WorkerAnswered, effects: Effects
+) -> Worker | None:
+    """Return the worker in the incarnation that has answered; None if that has ended."""
     worker = state.workers.get(event.worker_id)
     born = event.listing.born
     if worker is None or born in worker.former:
@@ -99,10 +101,10 @@
     return worker
 
 
-def _take_heard(
+def _record_answer(
     state: PartitionState, worker: Worker, event: WorkerAnswered, effects: Effects
 ) -> None:
-    """Take in that a worker answers, and its clock."""
+    """Record that a worker has answered, and its clock."""
     if not worker.is_ready() or worker.is_silent:
         effects.touch(worker.entry.service)
         tell_heard(worker, event.listing)
@@ -110,13 +112,15 @@
     for run in worker.runs.values():
         run.is_doubtful = False
     if not worker.is_ready():
-        _bound_lease(state, worker, event.listing.clock_ms)
+        _limit_lease(state, worker, event.listing.clock_ms)
     worker.clock_ms = event.listing.clock_ms
     worker.clock_heard_ms = event.now_ms
 
 
-def _take_ends(state: PartitionState, worker: Worker, listing: Listing, effects: Effects) -> None:
-    """Take in the ends that weren't known; they are acknowledged once that is stored."""
+def _process_ends(
+    state: PartitionState, worker: Worker, listing: Listing, effects: Effects
+) -> None:
+    """Process the new ends of a listing; they are acknowledged once they are stored."""
     ended_before = worker.seen
     for ended in listing.ended:
         if ended.number > worker.seen:
@@ -128,11 +132,11 @@
         effects.add(AcknowledgeEnds(worker=worker, number=worker.seen))
 
 
-def _bound_lease(state: PartitionState, worker: Worker, clock_ms: int) -> None:
-    """Tell how long what we haven't started in this life may run, whoever renews its lease.
+def _limit_lease(state: PartitionState, worker: Worker, clock_ms: int) -> None:
+    """Set an upper bound for the leases of runs that earlier owners or incarnations started.
 
-    An earlier owner can't renew it any more. Of what was sent to an earlier life the end of the
-    lease may be far off by this one's clock; the worker has shortened it to the longest it grants.
+    An earlier owner can't renew them any more. An order sent to an earlier incarnation may carry a
+    lease far ahead of the new clock, which the worker shortens to the longest that it grants.
     """
     if not worker.runs:
         return
@@ -160,20 +164,20 @@
             _update_run(run, row, now_ms)
             take_listed(worker, run, now_ms, effects)
     for run in list(worker.runs.values()):
-        # Its last order was answered before this listing was asked for, and it isn't there:
-        # it has ended without a trace, or its start never came.
+        # The last order was answered before this listing was requested, so a run that isn't listed
+        # has ended unnoticed or was never started.
         is_proved = run.answered_ms is not None and run.answered_ms < sent_ms
         if run.key() in listed:
             continue
         if is_proved:
-            _lose_unlisted(state, worker, run, effects)
+            _lose_unlisted_run(state, worker, run, effects)
         elif run.unanswered_ms is not None and run.unanswered_ms < sent_ms:
             run.unanswered_ms = None
             stop_run(state, run, effects)
 
 
-def _lose_unlisted(state: PartitionState, worker: Worker, run: Run, effects: Effects) -> None:
-    """Give up a run that isn't there; one that was sent to an earlier life ended with that."""
+def _lose_unlisted_run(state: PartitionState, worker: Worker, run: Run, effects: Effects) -> None:
+    """Lose a run that isn't listed; one sent to an earlier incarnation was lost with it."""
     ended_before = worker.was_sent_before(run)
     reason = LossReason.WORKER_RESTARTED if ended_before else LossReason.RUN_NOT_LISTED
     is_sole = ended_before and run.task.step.job is worker.sole_suspect
@@ -198,14 +202,14 @@
 def _stop_unknown(
     state: PartitionState, worker: Worker, row: RunningTask, effects: Effects
 ) -> None:
-    """Stop a run that this owner doesn't know, such as one whose start came late.
+    """Stop a run that this owner doesn't know, such as one whose start arrived late.
 
-    Its room is counted until the worker lists its end; that of a job which isn't known at all
-    can't be, but its lease is renewed with all others, so it has to be stopped too.
+    Its capacity is counted until the worker lists its end. Runs of unknown jobs have to be stopped
+    as well, since their leases are renewed with all others.
     """
     task = find_task(state, row.task)
     _LOGGER.warning(
-        "worker runs what it shouldn't",
+        "worker runs an unknown run",
         extra={
             "event": "run_unknown",
             "task": row.task,
@@ -230,7 +234,7 @@
 
 @handles(WorkerFailed)
 def take_failure(state: PartitionState, event: WorkerFailed, effects: Effects) -> None:
-    """Take in that a worker didn't answer, or that its address now belongs to another life."""
+    """Handle a call without an answer, or an address that now belongs to another worker."""
     worker = state.workers.get(event.worker_id)
     if worker is None:
         return
@@ -242,7 +246,7 @@
 
 
 def fall_silent(state: PartitionState, worker: Worker, effects: Effects, *, detail: str) -> None:
-    """Give a worker nothing more to do until it is heard again."""
+    """Give a worker no more work until it responds again."""
     if worker.is_silent:
         return
     worker.is_silent = True
@@ -252,7 +256,7 @@
 
 
 def doubt_runs(state: PartitionState, worker: Worker, effects: Effects) -> None:
-    """Let tasks that may be copied start elsewhere too, while their worker doesn't answer."""
+    """Let tasks that allow copies start elsewhere while their worker is unresponsive."""
     for run in worker.runs.values():
         run.is_doubtful = True
         if run.task.is_waiting():
@@ -262,7 +266,7 @@
 
 @handles(WorkersLeaving)
 def take_leaving(state: PartitionState, event: WorkersLeaving, effects: Effects) -> None:
-    """Start nothing more on workers whose machines are about to go, and empty them."""
+    """Start nothing on workers whose machines are about to be removed, and empty them."""
     state.leaving_ms = state.now_ms
     for worker in state.workers.values():
         worker.is_due = worker.id in event.due
