--- a/heatherkeel/dispatch/orders.py
+++ b/heatherkeel/dispatch/orders.py
@@ -9,8 +9,8 @@
 from .const import FULL_PAUSE_MS
 from .ends import lose_run
 from .events import Effects, StartAnswered, StopAnswered, StopTask
+from .incarnations import end_life
 from .jobs import stop_run
-from .lives import end_life
 from .models import LossReason, RunState
 from .registry import handles
 from .state import PartitionState
--- a/heatherkeel/dispatch/recovery.py
+++ b/heatherkeel/dispatch/recovery.py
@@ -15,7 +15,7 @@
 
 from .building import set_objective
 from .const import LEASE_MS, SLOWEST_CLOCK
-from .lives import add_worker
+from .incarnations import add_worker
 from .models import Job, Run, Worker
 from .pools import wait_for_room
 from .records import (
--- a/heatherkeel/dispatch/ticks.py
+++ b/heatherkeel/dispatch/ticks.py
@@ -4,9 +4,9 @@
 
 from .const import LEAVING_MS
 from .events import Effects, ForgetJob, Tick
+from .incarnations import drop_if_lapsed
 from .jobs import begin_due_occurrences
 from .lasting import leave_workers
-from .lives import drop_if_lapsed
 from .registry import handles
 from .rooms import take_outdated
 from .state import PartitionState
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -19,9 +19,9 @@
     WorkersLeaving,
     WorkersListed,
 )
+from .incarnations import add_worker, begin_life, drop_if_lapsed, end_life
 from .jobs import stop_run
 from .lasting import leave_workers
-from .lives import add_worker, begin_life, drop_if_lapsed, end_life
 from .models import LossReason, Run, RunState, Worker
 from .pacing import pace_worker
 from .pools import wait_for_room
