--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -22,7 +22,7 @@
     find_pool(state, worker.entry.service).workers[worker.id] = worker
 
 
-def begin_life(
+def start_incarnation(
     state: PartitionState, worker: Worker, effects: Effects, *, entry: WorkerEntry, born: int
 ) -> Worker:
     """Replace a worker that has restarted under the same ID and lost its state.
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -19,7 +19,7 @@
     WorkersLeaving,
     WorkersListed,
 )
-from .incarnations import add_worker, begin_life, drop_if_lapsed, end_life
+from .incarnations import add_worker, drop_if_lapsed, end_life, start_incarnation
 from .jobs import stop_run
 from .lasting import leave_workers
 from .models import LossReason, Run, RunState, Worker
@@ -67,7 +67,7 @@
     if worker.is_earlier_life(entry.born):
         return
     if worker.is_other_life(entry.born) or entry.service != worker.entry.service:
-        worker = begin_life(state, worker, effects, entry=entry, born=entry.born)
+        worker = start_incarnation(state, worker, effects, entry=entry, born=entry.born)
     worker.entry = entry
     worker.born = worker.born or entry.born
     fit_planned(state, worker, effects)
@@ -95,7 +95,7 @@
     if worker is None or born in worker.former:
         return None
     if worker.is_other_life(born):
-        return begin_life(state, worker, effects, entry=worker.entry, born=born)
+        return start_incarnation(state, worker, effects, entry=worker.entry, born=born)
     worker.born = worker.born or born
     worker.told = max(worker.told, event.acknowledged)
     return worker
