--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -86,7 +86,7 @@
         step.tickets.pop(worker.id, None)
 
 
-def end_life(
+def end_incarnation(
     state: PartitionState, worker: Worker, effects: Effects, *, reason: LossReason
 ) -> None:
     """Drop an incarnation that has ended, and ignore its entry while it is still read."""
@@ -104,7 +104,7 @@
     for worker in list(state.workers.values()):
         is_long = state.now_ms - worker.silent_since_ms >= SILENT_MS
         if worker.is_silent and is_long and worker.id not in event.worker_ids:
-            end_life(state, worker, effects, reason=LossReason.OTHER_LIFE)
+            end_incarnation(state, worker, effects, reason=LossReason.OTHER_LIFE)
 
 
 def drop_if_lapsed(state: PartitionState, worker: Worker, effects: Effects) -> None:
--- a/heatherkeel/dispatch/orders.py
+++ b/heatherkeel/dispatch/orders.py
@@ -9,7 +9,7 @@
 from .const import FULL_PAUSE_MS
 from .ends import lose_run
 from .events import Effects, StartAnswered, StopAnswered, StopTask
-from .incarnations import end_life
+from .incarnations import end_incarnation
 from .jobs import stop_run
 from .models import LossReason, RunState
 from .registry import handles
@@ -60,7 +60,7 @@
     worker = state.workers.get(run.worker_id)
     if worker is not None and event.error.failure is Failure.OTHER_INSTANCE:
         lose_run(state, run, effects, reason=LossReason.START_NOT_DONE)
-        end_life(state, worker, effects, reason=LossReason.ADDRESS_TAKEN)
+        end_incarnation(state, worker, effects, reason=LossReason.ADDRESS_TAKEN)
         return
     if worker is not None and event.error.failure in _NOT_REACHED:
         # The emptiest worker of a pool would be tried again at once, and again.
