--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -10,7 +10,7 @@
 from .models import LossReason, Run, RunState, Worker
 from .pools import find_pool
 from .registry import handles
-from .rooms import take_back
+from .rooms import cancel_planned_start
 from .state import PartitionState
 from .suspicion import find_sole_job
 from .telling import tell_restart, tell_worker
@@ -63,7 +63,7 @@
 ) -> None:
     """Cancel a run that wasn't sent, and lose one that the earlier incarnation had listed."""
     if run.state is RunState.PLANNED:
-        take_back(state, run, effects)
+        cancel_planned_start(state, run, effects)
     elif run.listed_since_ms:
         is_sole = run.task.step.job is successor.sole_suspect
         lose_run(state, run, effects, reason=LossReason.WORKER_RESTARTED, is_sole=is_sole)
--- a/heatherkeel/dispatch/rooms.py
+++ b/heatherkeel/dispatch/rooms.py
@@ -23,7 +23,7 @@
         if not worker.is_overfull():
             return
         if run.state is RunState.PLANNED:
-            take_back(state, run, effects)
+            cancel_planned_start(state, run, effects)
 
 
 def take_outdated(state: PartitionState, outdated: frozenset[str], effects: Effects) -> None:
@@ -55,10 +55,10 @@
 def _cancel_all_planned(state: PartitionState, worker: Worker, effects: Effects) -> None:
     for run in list(worker.runs.values()):
         if run.state is RunState.PLANNED:
-            take_back(state, run, effects)
+            cancel_planned_start(state, run, effects)
 
 
-def take_back(state: PartitionState, run: Run, effects: Effects) -> None:
+def cancel_planned_start(state: PartitionState, run: Run, effects: Effects) -> None:
     """Cancel a planned start; for a gang, those of all its tasks."""
     step = run.task.step
     runs = [run]
