--- a/heatherkeel/dispatch/ends.py
+++ b/heatherkeel/dispatch/ends.py
@@ -12,7 +12,7 @@
 from .jobs import end_job, save_ended, stop_run
 from .models import Job, JobState, LossReason, Run, Task, Worker
 from .pools import find_pool, forget_run, wait_for_room
-from .standing import set_aside
+from .standing import quarantine_worker
 from .state import PartitionState
 from .suspicion import clear_task, count_crash
 
@@ -138,7 +138,7 @@
         worker.failed_jobs.append(job.id)
     if len(worker.failed_jobs) < GREY_FAILURES:
         return
-    if set_aside(state, worker, why="it fails what it starts"):
+    if quarantine_worker(state, worker, why="it fails what it starts"):
         worker.failed_jobs.clear()
 
 
--- a/heatherkeel/dispatch/standing.py
+++ b/heatherkeel/dispatch/standing.py
@@ -29,13 +29,13 @@
     stalled = [run for run in runs if state.now_ms - run.moved_ms >= STANDING_MS]
     if len(stalled) < max(FEWEST_STANDING, len(runs)):
         return
-    if not set_aside(state, worker, why=f"{len(stalled)} tasks stand still"):
+    if not quarantine_worker(state, worker, why=f"{len(stalled)} tasks stand still"):
         return
     for run in stalled:
         stop_run(state, run, effects)
 
 
-def set_aside(state: PartitionState, worker: Worker, *, why: str) -> bool:
+def quarantine_worker(state: PartitionState, worker: Worker, *, why: str) -> bool:
     """Give a worker no work for a while, unless too many workers of its pool are quarantined.
 
     Returns whether the worker was quarantined.
