--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -13,7 +13,7 @@
 from .rooms import cancel_planned_start
 from .state import PartitionState
 from .suspicion import find_sole_job
-from .telling import tell_restart, tell_worker
+from .telling import log_worker_event, tell_restart
 
 
 def add_worker(state: PartitionState, worker: Worker) -> None:
@@ -123,7 +123,7 @@
     _lose_runs(state, worker, effects, reason=reason)
     del state.workers[worker.id]
     del find_pool(state, worker.entry.service).workers[worker.id]
-    tell_worker(worker.id, "worker_dropped", reason.value)
+    log_worker_event(worker.id, "worker_dropped", reason.value)
 
 
 def _lose_runs(
--- a/heatherkeel/dispatch/telling.py
+++ b/heatherkeel/dispatch/telling.py
@@ -29,7 +29,7 @@
     )
 
 
-def tell_worker(worker_id: str, event: str, detail: str) -> None:
+def log_worker_event(worker_id: str, event: str, detail: str) -> None:
     """Log an event of a worker."""
     _LOGGER.info(
         "worker %s", worker_id, extra={"event": event, "worker": worker_id, "detail": detail}
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -30,7 +30,7 @@
 from .standing import leave_standing
 from .state import PartitionState
 from .suspicion import take_listed
-from .telling import tell_heard, tell_left_out, tell_passed_over, tell_worker
+from .telling import log_worker_event, tell_heard, tell_left_out, tell_passed_over
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -48,14 +48,14 @@
         worker = state.workers.get(worker_id)
         if worker is None:
             add_worker(state, Worker(id=worker_id, entry=entry, born=entry.born))
-            tell_worker(worker_id, "worker_listed", entry.service)
+            log_worker_event(worker_id, "worker_listed", entry.service)
         else:
             _update_from_entry(state, worker, entry, effects)
         effects.touch(entry.service)
     for worker in state.workers.values():
         if worker.id not in event.entries and worker.is_listed:
             worker.is_listed = False
-            tell_worker(worker.id, "worker_unlisted", worker.entry.service)
+            log_worker_event(worker.id, "worker_unlisted", worker.entry.service)
     leave_workers(state, effects)
 
 
@@ -251,7 +251,7 @@
         return
     worker.is_silent = True
     worker.silent_since_ms = state.now_ms
-    tell_worker(worker.id, "worker_silent", detail)
+    log_worker_event(worker.id, "worker_silent", detail)
     doubt_runs(state, worker, effects)
 
 
