--- a/heatherkeel/dispatch/ends.py
+++ b/heatherkeel/dispatch/ends.py
@@ -11,7 +11,7 @@
 from .events import CountGivenUp, CountLoss, Effects, SaveJob
 from .jobs import end_job, save_ended, stop_run
 from .models import Job, JobState, LossReason, Run, Task, Worker
-from .pools import find_pool, forget_run, wait_for_room
+from .pools import enqueue_step, find_pool, forget_run
 from .standing import quarantine_worker
 from .state import PartitionState
 from .suspicion import clear_task, count_crash
@@ -69,7 +69,7 @@
         )
     effects.add(SaveJob(job_id=job.id))
     if not job.state.is_final():
-        wait_for_room(state, task.step)
+        enqueue_step(state, task.step)
 
 
 def finish_task(state: PartitionState, task: Task, effects: Effects) -> None:
@@ -90,7 +90,7 @@
         return
     find_pool(state, step.job.service).open_steps.discard(step)
     for follower in open_followers(step):
-        wait_for_room(state, follower)
+        enqueue_step(state, follower)
         effects.touch(step.job.service)
     _end_if_complete(state, step.job, effects)
 
@@ -171,7 +171,7 @@
         return
     effects.add(SaveJob(job_id=job.id))
     if not task.step.is_done():
-        wait_for_room(state, task.step)
+        enqueue_step(state, task.step)
 
 
 def _log_loss(state: PartitionState, run: Run, reason: LossReason) -> None:
--- a/heatherkeel/dispatch/jobs.py
+++ b/heatherkeel/dispatch/jobs.py
@@ -16,7 +16,7 @@
     StopTask,
 )
 from .models import Job, JobState, Run, RunState
-from .pools import find_pool, forget_run, wait_for_room
+from .pools import enqueue_step, find_pool, forget_run
 from .registry import handles
 from .state import PartitionState
 
@@ -85,7 +85,7 @@
             return
         for step in begin_occurrence(job, number, begins_ms=begins_ms):
             open_tasks += len(step.tasks)
-            wait_for_room(state, step)
+            enqueue_step(state, step)
         effects.touch(job.service)
 
 
--- a/heatherkeel/dispatch/pools.py
+++ b/heatherkeel/dispatch/pools.py
@@ -14,7 +14,7 @@
     return pool
 
 
-def wait_for_room(state: PartitionState, step: Step) -> None:
+def enqueue_step(state: PartitionState, step: Step) -> None:
     """Queue an open step, so that its tasks start when there is capacity."""
     if step.is_open and not step.job.state.is_final():
         find_pool(state, step.job.service).open_steps.add(step, state.now_ms)
--- a/heatherkeel/dispatch/recovery.py
+++ b/heatherkeel/dispatch/recovery.py
@@ -17,7 +17,7 @@
 from .const import LEASE_MS, SLOWEST_CLOCK
 from .incarnations import add_worker
 from .models import Job, Run, Worker
-from .pools import wait_for_room
+from .pools import enqueue_step
 from .records import (
     CANCEL_PREFIX,
     PROGRESS_PREFIX,
@@ -119,7 +119,7 @@
         _put_on_worker(state, run, job.service)
     for step in job.steps():
         if not step.is_done():
-            wait_for_room(state, step)
+            enqueue_step(state, step)
 
 
 def _put_on_worker(state: PartitionState, run: Run, service: str) -> None:
--- a/heatherkeel/dispatch/rooms.py
+++ b/heatherkeel/dispatch/rooms.py
@@ -7,7 +7,7 @@
 from .events import Effects, SaveJob
 from .jobs import stop_run
 from .models import Run, RunState, Worker
-from .pools import wait_for_room
+from .pools import enqueue_step
 from .state import PartitionState
 
 _LOGGER = logging.getLogger(__name__)
@@ -67,5 +67,5 @@
     for canceled in runs:
         stop_run(state, canceled, effects)
     effects.add(SaveJob(job_id=step.job.id))
-    wait_for_room(state, step)
+    enqueue_step(state, step)
     effects.touch(step.job.service)
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -24,7 +24,7 @@
 from .lasting import leave_workers
 from .models import LossReason, Run, RunState, Worker
 from .pacing import pace_worker
-from .pools import wait_for_room
+from .pools import enqueue_step
 from .registry import handles
 from .rooms import fit_planned
 from .standing import leave_standing
@@ -260,7 +260,7 @@
     for run in worker.runs.values():
         run.is_doubtful = True
         if run.task.is_waiting():
-            wait_for_room(state, run.task.step)
+            enqueue_step(state, run.task.step)
             effects.touch(worker.entry.service)
 
 
--- a/tests/dispatch/test_load.py
+++ b/tests/dispatch/test_load.py
@@ -4,7 +4,7 @@
 
 from heatherkeel.dispatch.const import UNHEARD_MS
 from heatherkeel.dispatch.load import measure_pools
-from heatherkeel.dispatch.pools import wait_for_room
+from heatherkeel.dispatch.pools import enqueue_step
 from heatherkeel.platform.callers import StepRequest
 from heatherkeel.questions.messages import Need
 
@@ -60,7 +60,7 @@
     partition.answer("w0")
     partition.submit(StepRequest(count=1, cpu=2000, lasts=True))
     (step,) = partition.job().steps()
-    wait_for_room(partition.state, step)
+    enqueue_step(partition.state, step)
     (load,) = measure_pools(partition.state)
     assert load.lacking == 0
 
