--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -103,7 +103,7 @@
     """
     for worker in list(state.workers.values()):
         is_long = state.now_ms - worker.silent_since_ms >= SILENT_MS
-        if worker.is_silent and is_long and worker.id not in event.worker_ids:
+        if worker.is_unresponsive and is_long and worker.id not in event.worker_ids:
             end_incarnation(state, worker, effects, reason=LossReason.OTHER_LIFE)
 
 
--- a/heatherkeel/dispatch/inquiries.py
+++ b/heatherkeel/dispatch/inquiries.py
@@ -40,7 +40,7 @@
         """Look at the list of machines for as long as a worker with tasks is silent."""
         while True:
             await trio.sleep(LIVES_INTERVAL_MS / 1000)
-            silent = [w for w in self.owner.state.workers.values() if w.is_silent and w.runs]
+            silent = [w for w in self.owner.state.workers.values() if w.is_unresponsive and w.runs]
             if not silent or not self.machines.caller.address:
                 continue
             listed = await self.machines.async_list()
--- a/heatherkeel/dispatch/lasting.py
+++ b/heatherkeel/dispatch/lasting.py
@@ -60,5 +60,5 @@
 
 def _works(state: PartitionState, run: Run) -> bool:
     worker = state.workers.get(run.worker_id)
-    is_heard = worker is not None and not worker.is_silent
+    is_heard = worker is not None and not worker.is_unresponsive
     return is_heard and run.is_at_work and run.state is RunState.RUNNING
--- a/heatherkeel/dispatch/load.py
+++ b/heatherkeel/dispatch/load.py
@@ -74,8 +74,8 @@
     """Say whether a worker is no room for jobs, though its machine is up for all others."""
     if not worker.is_listed or worker.is_leaving:
         return False
-    is_silent = worker.is_silent and now_ms - worker.silent_since_ms >= UNHEARD_MS
-    return is_silent or worker.aside_until_ms > now_ms
+    is_unresponsive = worker.is_unresponsive and now_ms - worker.silent_since_ms >= UNHEARD_MS
+    return is_unresponsive or worker.aside_until_ms > now_ms
 
 
 def _list_rooms(pool: Pool) -> list[_Room]:
--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -254,7 +254,7 @@
     suspects: dict[tuple[str, int], Run] = field(default_factory=dict)
     """Unproven runs of tasks that have lost a worker before."""
     is_listed: bool = True
-    is_silent: bool = False
+    is_unresponsive: bool = False
     """The last call to it wasn't answered."""
     silent_since_ms: int = 0
     is_leaving: bool = False
@@ -307,7 +307,7 @@
         A restarted worker reuses these numbers and would drop ends that were never read. So each
         number is acknowledged once, and only right after the worker has listed it.
         """
-        is_fresh = not self.is_silent and now_ms - self.clock_heard_ms <= MAX_LISTING_AGE_MS
+        is_fresh = not self.is_unresponsive and now_ms - self.clock_heard_ms <= MAX_LISTING_AGE_MS
         if not is_fresh or self.told >= self.acknowledged:
             return 0
         return self.acknowledged
@@ -318,7 +318,7 @@
             self.is_ready()
             and self.is_listed
             and self.has_entry()
-            and not self.is_silent
+            and not self.is_unresponsive
             and not self.is_leaving
             and not self.is_outdated
             and not self.entry.is_draining()
--- a/heatherkeel/dispatch/rooms.py
+++ b/heatherkeel/dispatch/rooms.py
@@ -37,7 +37,7 @@
         if is_outdated == worker.is_outdated:
             continue
         worker.is_outdated = is_outdated
-        if worker.is_listed and not worker.is_leaving and not worker.is_silent:
+        if worker.is_listed and not worker.is_leaving and not worker.is_unresponsive:
             _log_outdated(worker)
         effects.touch(worker.entry.service)
         if is_outdated:
--- a/heatherkeel/dispatch/session.py
+++ b/heatherkeel/dispatch/session.py
@@ -103,7 +103,7 @@
             token=self.owner.state.token,
             acknowledged=acknowledged,
             lease_until_ms=lease_until_ms,
-            wait_ms=0 if is_first or worker.is_silent else self._wait_ms(),
+            wait_ms=0 if is_first or worker.is_unresponsive else self._wait_ms(),
         )
         if self.owner.state.workers.get(worker.id) is not worker:
             return False
--- a/heatherkeel/dispatch/ticks.py
+++ b/heatherkeel/dispatch/ticks.py
@@ -22,7 +22,7 @@
         if job.request.repeat_count:
             begin_due_occurrences(state, job, effects)
     for worker in list(state.workers.values()):
-        if worker.is_silent or (not worker.is_listed and not worker.runs):
+        if worker.is_unresponsive or (not worker.is_listed and not worker.runs):
             drop_if_lapsed(state, worker, effects)
     leave_workers(state, effects)
     _forget_ended(state, effects)
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -105,10 +105,10 @@
     state: PartitionState, worker: Worker, event: WorkerAnswered, effects: Effects
 ) -> None:
     """Record that a worker has answered, and its clock."""
-    if not worker.is_ready() or worker.is_silent:
+    if not worker.is_ready() or worker.is_unresponsive:
         effects.touch(worker.entry.service)
         tell_heard(worker, event.listing)
-    worker.is_silent = False
+    worker.is_unresponsive = False
     for run in worker.runs.values():
         run.is_doubtful = False
     if not worker.is_ready():
@@ -247,9 +247,9 @@
 
 def fall_silent(state: PartitionState, worker: Worker, effects: Effects, *, detail: str) -> None:
     """Give a worker no more work until it responds again."""
-    if worker.is_silent:
+    if worker.is_unresponsive:
         return
-    worker.is_silent = True
+    worker.is_unresponsive = True
     worker.silent_since_ms = state.now_ms
     log_worker_event(worker.id, "worker_silent", detail)
     doubt_runs(state, worker, effects)
--- a/tests/dispatch/crashing_pool.py
+++ b/tests/dispatch/crashing_pool.py
@@ -163,7 +163,7 @@
         """Dead workers don't answer, their entries lapse, and their machines come back."""
         for worker_id, died_ms in self.dead.items():
             believed = self.partition.state.workers.get(worker_id)
-            if believed is not None and not believed.is_silent:
+            if believed is not None and not believed.is_unresponsive:
                 self.partition.fail(worker_id)
             if ms >= died_ms + ENTRY_MS and worker_id in self.partition.entries:
                 del self.partition.entries[worker_id]
--- a/tests/dispatch/test_crashing_tasks.py
+++ b/tests/dispatch/test_crashing_tasks.py
@@ -51,7 +51,7 @@
         partition.fail(worker_id)
         for _ in range(SILENT_MS // 100):
             for other in list(partition.state.workers):
-                if other != worker_id and not partition.state.workers[other].is_silent:
+                if other != worker_id and not partition.state.workers[other].is_unresponsive:
                     partition.answer(other, percent=100.0)
             partition.tick(100)
         self.lives += 1
--- a/tests/dispatch/test_machine.py
+++ b/tests/dispatch/test_machine.py
@@ -235,15 +235,15 @@
             worker, task = running[number % len(running)]
             worker.end(task, "failed" if fails and number == 3 else "done")
 
-    @rule(number=st.integers(0, 5), is_silent=st.booleans())
-    def hold(self, number: int, is_silent: bool) -> None:
+    @rule(number=st.integers(0, 5), is_unresponsive=st.booleans())
+    def hold(self, number: int, is_unresponsive: bool) -> None:
         """The owner lists a worker's tasks, or doesn't reach it."""
         known = [w for w in self.partition.state.workers.values() if w.id in self.workers]
         if not known:
             return
         believed = known[number % len(known)]
         worker = self.workers[believed.id]
-        if is_silent or not worker.is_alive:
+        if is_unresponsive or not worker.is_alive:
             self._collect(self.partition.fail(worker.id))
             return
         if self.partition.state.token < worker.token:
