--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -107,7 +107,7 @@
             end_incarnation(state, worker, effects, reason=LossReason.OTHER_LIFE)
 
 
-def drop_if_lapsed(state: PartitionState, worker: Worker, effects: Effects) -> None:
+def drop_if_expired(state: PartitionState, worker: Worker, effects: Effects) -> None:
     """Lose the runs of an unreachable worker whose lease has expired; drop it if unlisted."""
     if not worker.has_lapsed(state.now_ms):
         return
--- a/heatherkeel/dispatch/ticks.py
+++ b/heatherkeel/dispatch/ticks.py
@@ -4,7 +4,7 @@
 
 from .const import LEAVING_MS
 from .events import Effects, ForgetJob, Tick
-from .incarnations import drop_if_lapsed
+from .incarnations import drop_if_expired
 from .jobs import begin_due_occurrences
 from .lasting import leave_workers
 from .registry import handles
@@ -23,7 +23,7 @@
             begin_due_occurrences(state, job, effects)
     for worker in list(state.workers.values()):
         if worker.is_unresponsive or (not worker.is_listed and not worker.runs):
-            drop_if_lapsed(state, worker, effects)
+            drop_if_expired(state, worker, effects)
     leave_workers(state, effects)
     _forget_ended(state, effects)
     for pool in state.pools.values():
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -19,7 +19,7 @@
     WorkersLeaving,
     WorkersListed,
 )
-from .incarnations import add_worker, drop_if_lapsed, end_incarnation, start_incarnation
+from .incarnations import add_worker, drop_if_expired, end_incarnation, start_incarnation
 from .jobs import stop_run
 from .lasting import leave_workers
 from .models import LossReason, Run, RunState, Worker
@@ -242,7 +242,7 @@
         end_incarnation(state, worker, effects, reason=LossReason.ADDRESS_TAKEN)
         return
     fall_silent(state, worker, effects, detail=event.error.detail)
-    drop_if_lapsed(state, worker, effects)
+    drop_if_expired(state, worker, effects)
 
 
 def fall_silent(state: PartitionState, worker: Worker, effects: Effects, *, detail: str) -> None:
