--- a/heatherkeel/dispatch/standing.py
+++ b/heatherkeel/dispatch/standing.py
@@ -19,7 +19,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-def leave_standing(state: PartitionState, worker: Worker, effects: Effects) -> None:
+def quarantine_if_stalled(state: PartitionState, worker: Worker, effects: Effects) -> None:
     """Quarantine a worker on which all tasks are stalled, and stop them to run elsewhere.
 
     A faulty worker may answer and list its tasks without ever ending one, so no lease expires and
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -27,7 +27,7 @@
 from .pools import enqueue_step
 from .registry import handles
 from .rooms import fit_planned
-from .standing import leave_standing
+from .standing import quarantine_if_stalled
 from .state import PartitionState
 from .suspicion import take_listed
 from .telling import log_worker_event, tell_heard, tell_left_out, tell_passed_over
@@ -83,7 +83,7 @@
     _process_ends(state, worker, event.listing, effects)
     _compare_runs(state, worker, event.listing, event.sent_ms, event.now_ms, effects)
     pace_worker(state, worker, effects)
-    leave_standing(state, worker, effects)
+    quarantine_if_stalled(state, worker, effects)
 
 
 def _find_incarnation(
