--- a/heatherkeel/dispatch/rooms.py
+++ b/heatherkeel/dispatch/rooms.py
@@ -26,7 +26,9 @@
             cancel_planned_start(state, run, effects)
 
 
-def take_outdated(state: PartitionState, outdated: frozenset[str], effects: Effects) -> None:
+def update_outdated_workers(
+    state: PartitionState, outdated: frozenset[str], effects: Effects
+) -> None:
     """Update which workers have outdated entries, and cancel the starts planned on them.
 
     Their capacity may have shrunk unnoticed. Their runs go on, and they get work again with their
--- a/heatherkeel/dispatch/ticks.py
+++ b/heatherkeel/dispatch/ticks.py
@@ -8,7 +8,7 @@
 from .jobs import begin_due_occurrences
 from .lasting import leave_workers
 from .registry import handles
-from .rooms import take_outdated
+from .rooms import update_outdated_workers
 from .state import PartitionState
 
 
@@ -16,7 +16,7 @@
 def take_tick(state: PartitionState, event: Tick, effects: Effects) -> None:
     """Begin what is due, give up workers whose leases have lapsed, forget old jobs."""
     state.can_start = event.can_start
-    take_outdated(state, event.outdated, effects)
+    update_outdated_workers(state, event.outdated, effects)
     _end_leaving(state, effects)
     for job in state.jobs.values():
         if job.request.repeat_count:
