--- a/heatherkeel/dispatch/rooms.py
+++ b/heatherkeel/dispatch/rooms.py
@@ -13,7 +13,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-def fit_planned(state: PartitionState, worker: Worker, effects: Effects) -> None:
+def cancel_excess_starts(state: PartitionState, worker: Worker, effects: Effects) -> None:
     """Cancel planned starts, the latest first, until the rest fits the worker's capacity.
 
     A start may wait for seconds until it is stored. A worker whose capacity has shrunk meanwhile
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -26,7 +26,7 @@
 from .pacing import pace_worker
 from .pools import enqueue_step
 from .registry import handles
-from .rooms import fit_planned
+from .rooms import cancel_excess_starts
 from .standing import quarantine_if_stalled
 from .state import PartitionState
 from .suspicion import take_listed
@@ -70,7 +70,7 @@
         worker = start_incarnation(state, worker, effects, entry=entry, born=entry.born)
     worker.entry = entry
     worker.born = worker.born or entry.born
-    fit_planned(state, worker, effects)
+    cancel_excess_starts(state, worker, effects)
 
 
 @handles(WorkerAnswered)
