--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -13,7 +13,7 @@
 from .rooms import cancel_planned_start
 from .state import PartitionState
 from .suspicion import find_sole_job
-from .telling import log_worker_event, tell_restart
+from .telling import log_restart, log_worker_event
 
 
 def add_worker(state: PartitionState, worker: Worker) -> None:
@@ -42,7 +42,7 @@
         is_due=worker.is_due,
         is_outdated=worker.is_outdated,
     )
-    tell_restart(worker, successor)
+    log_restart(worker, successor)
     for run in list(worker.runs.values()):
         if worker.runs.get(run.key()) is run:
             _end_with_incarnation(state, run, successor, effects)
--- a/heatherkeel/dispatch/telling.py
+++ b/heatherkeel/dispatch/telling.py
@@ -13,7 +13,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-def tell_restart(worker: Worker, later: Worker) -> None:
+def log_restart(worker: Worker, later: Worker) -> None:
     """Log that a worker has restarted, with the state known of its earlier incarnation."""
     _LOGGER.info(
         "worker restarted",
