--- a/heatherkeel/dispatch/telling.py
+++ b/heatherkeel/dispatch/telling.py
@@ -36,7 +36,7 @@
     )
 
 
-def tell_left_out(state: PartitionState, worker_id: str, entry: WorkerEntry) -> None:
+def log_ignored_entry(state: PartitionState, worker_id: str, entry: WorkerEntry) -> None:
     """Log, once per incarnation, that the entry of an ended incarnation is ignored."""
     if state.left_out.get(worker_id) == entry.born:
         return
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -30,7 +30,7 @@
 from .standing import quarantine_if_stalled
 from .state import PartitionState
 from .suspicion import take_listed
-from .telling import log_worker_event, tell_heard, tell_left_out, tell_passed_over
+from .telling import log_ignored_entry, log_worker_event, tell_heard, tell_passed_over
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
             del known[worker_id]
     for worker_id, entry in event.entries.items():
         if state.is_gone(worker_id, entry.born):
-            tell_left_out(state, worker_id, entry)
+            log_ignored_entry(state, worker_id, entry)
             continue
         worker = state.workers.get(worker_id)
         if worker is None:
