--- a/heatherkeel/dispatch/telling.py
+++ b/heatherkeel/dispatch/telling.py
@@ -47,7 +47,7 @@
     )
 
 
-def tell_heard(worker: Worker, listing: Listing) -> None:
+def log_worker_answered(worker: Worker, listing: Listing) -> None:
     """Log the first answer of a worker, or the first after it was unresponsive."""
     _LOGGER.info(
         "worker answered",
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -30,7 +30,7 @@
 from .standing import quarantine_if_stalled
 from .state import PartitionState
 from .suspicion import take_listed
-from .telling import log_ignored_entry, log_worker_event, tell_heard, tell_passed_over
+from .telling import log_ignored_entry, log_worker_answered, log_worker_event, tell_passed_over
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -107,7 +107,7 @@
     """Record that a worker has answered, and its clock."""
     if not worker.is_ready() or worker.is_unresponsive:
         effects.touch(worker.entry.service)
-        tell_heard(worker, event.listing)
+        log_worker_answered(worker, event.listing)
     worker.is_unresponsive = False
     for run in worker.runs.values():
         run.is_doubtful = False
