--- a/heatherkeel/dispatch/telling.py
+++ b/heatherkeel/dispatch/telling.py
@@ -67,7 +67,7 @@
     )
 
 
-def tell_passed_over(worker: Worker, ended: EndedTask) -> None:
+def log_ignored_end(worker: Worker, ended: EndedTask) -> None:
     """Log that the end of a known run is ignored, because its number was processed before."""
     _LOGGER.warning(
         "end of a run ignored, because its number was processed before",
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -30,7 +30,7 @@
 from .standing import quarantine_if_stalled
 from .state import PartitionState
 from .suspicion import take_listed
-from .telling import log_ignored_entry, log_worker_answered, log_worker_event, tell_passed_over
+from .telling import log_ignored_end, log_ignored_entry, log_worker_answered, log_worker_event
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -127,7 +127,7 @@
             take_end(state, worker, ended, effects)
             worker.seen = ended.number
         elif (ended.task, ended.attempt) in worker.runs:
-            tell_passed_over(worker, ended)
+            log_ignored_end(worker, ended)
     if worker.seen > ended_before:
         effects.add(AcknowledgeEnds(worker=worker, number=worker.seen))
 
