--- a/heatherkeel/dispatch/recovery.py
+++ b/heatherkeel/dispatch/recovery.py
@@ -15,9 +15,9 @@
 
 from .building import set_objective
 from .const import LEASE_MS, SLOWEST_CLOCK
-from .lives import add_worker
+from .incarnations import add_worker
 from .models import Job, Run, Worker
-from .pools import wait_for_room
+from .pools import enqueue_step
 from .records import (
     CANCEL_PREFIX,
     PROGRESS_PREFIX,
@@ -119,7 +119,7 @@
         _put_on_worker(state, run, job.service)
     for step in job.steps():
         if not step.is_done():
-            wait_for_room(state, step)
+            enqueue_step(state, step)
 
 
 def _put_on_worker(state: PartitionState, run: Run, service: str) -> None:
@@ -131,7 +131,7 @@
     worker = state.workers.get(run.worker_id)
     if worker is None:
         entry = WorkerEntry(service=service, address="")
-        worker = Worker(id=run.worker_id, entry=entry, is_listed=False, is_silent=True)
+        worker = Worker(id=run.worker_id, entry=entry, is_listed=False, is_unresponsive=True)
         add_worker(state, worker)
     longest_ms = TTL_MS + LEASE_MS * SLOWEST_CLOCK
     worker.unheard_until_ms = state.now_ms + round(longest_ms)
--- a/heatherkeel/dispatch/ticks.py
+++ b/heatherkeel/dispatch/ticks.py
@@ -4,11 +4,11 @@
 
 from .const import LEAVING_MS
 from .events import Effects, ForgetJob, Tick
+from .incarnations import drop_if_expired
 from .jobs import begin_due_occurrences
 from .lasting import leave_workers
-from .lives import drop_if_lapsed
 from .registry import handles
-from .rooms import take_outdated
+from .rooms import update_outdated_workers
 from .state import PartitionState
 
 
@@ -16,14 +16,14 @@
 def take_tick(state: PartitionState, event: Tick, effects: Effects) -> None:
     """Begin what is due, give up workers whose leases have lapsed, forget old jobs."""
     state.can_start = event.can_start
-    take_outdated(state, event.outdated, effects)
+    update_outdated_workers(state, event.outdated, effects)
     _end_leaving(state, effects)
     for job in state.jobs.values():
         if job.request.repeat_count:
             begin_due_occurrences(state, job, effects)
     for worker in list(state.workers.values()):
-        if worker.is_silent or (not worker.is_listed and not worker.runs):
-            drop_if_lapsed(state, worker, effects)
+        if worker.is_unresponsive or (not worker.is_listed and not worker.runs):
+            drop_if_expired(state, worker, effects)
     leave_workers(state, effects)
     _forget_ended(state, effects)
     for pool in state.pools.values():
