--- a/heatherkeel/pooling/__init__.py
+++ b/heatherkeel/pooling/__init__.py
@@ -1,1 +1,1 @@
-"""Machines: which pool each is in, and when each is maintained."""
+"""Moves machines between pools and maintains them in waves."""
--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -26,7 +26,7 @@
 from heatherkeel.questions.messages import PoolsAsked, PoolsTold
 
 from .const import (
-    LAYOUT_WAIT_MS,
+    LAYOUT_TIMEOUT_MS,
     LIST_INTERVAL_MS,
     PLAN_INTERVAL_MS,
     STATUS_PREFIX,
@@ -200,7 +200,7 @@
         the list stays away: jobs can't be taken in before services are laid out.
         """
         listed = [(m.pool, m.zone, m.rack(), m.name) for m in self.state.machines.values()]
-        if not listed and monotonic_ms() - self.began_ms >= LAYOUT_WAIT_MS:
+        if not listed and monotonic_ms() - self.began_ms >= LAYOUT_TIMEOUT_MS:
             entries = self.directory.state.workers.values()
             listed = [(e.service, e.zone, "", e.machine) for e in entries if e.machine]
         pools: dict[str, list[str]] = {}
--- a/heatherkeel/pooling/moves.py
+++ b/heatherkeel/pooling/moves.py
@@ -8,8 +8,8 @@
 from heatherkeel.questions.messages import Need
 
 from .const import (
-    FEWEST_MACHINES,
-    FLOOR_SHARE,
+    MIN_MACHINES,
+    MIN_SIZE_FRACTION,
 )
 from .models import FleetState, Intent, Purpose, Share
 from .parking import choose_parked
@@ -153,7 +153,7 @@
         if machine.worker_id in view.load.workers and machine.worker_id not in view.load.lasting
     ]
     pinned = len(machines) - len(free)
-    floor = _floor(state, share) if recent else FEWEST_MACHINES
+    floor = _floor(state, share) if recent else MIN_MACHINES
     spare = len(machines) - max(needed, pinned, floor)
     free.sort(key=lambda machine: (view.load.workers[machine.worker_id or ""], machine.name))
     return free[: max(0, spare)]
@@ -165,7 +165,7 @@
     Machines come about two seconds after they are wanted; these are for the jobs until then, and
     for what may be lost or maintained, or while the fleet has no owner.
     """
-    return max(FEWEST_MACHINES, ceil(FLOOR_SHARE * state.home_size(share)))
+    return max(MIN_MACHINES, ceil(MIN_SIZE_FRACTION * state.home_size(share)))
 
 
 def _move(state: FleetState, machine: Machine, pool: str) -> Intent:
--- a/heatherkeel/pooling/ordering.py
+++ b/heatherkeel/pooling/ordering.py
@@ -18,7 +18,7 @@
 from heatherkeel.platform.machines import MachineClient
 from heatherkeel.platform.store import StoreClient
 
-from .const import CLOCK_MARGIN_MS, RECENT_ORDERS_MS, STALE_ORDER_MS
+from .const import CLOCK_SKEW_MARGIN_MS, MAX_ORDER_DELAY_MS, ORDER_RETENTION_MS
 from .models import Intent, OrderAnswered, Purpose
 
 _LOGGER = logging.getLogger(__name__)
@@ -76,7 +76,7 @@
             for machine, at_ms in msgspec.json.decode(record.value, type=dict[str, int]).items():
                 self.ordered_ms[machine] = max(at_ms, self.ordered_ms.get(machine, 0))
                 age_ms = max(0, wall_ms() - self.ordered_ms[machine])
-                left_ms = max(0, lease_ms + CLOCK_MARGIN_MS - age_ms)
+                left_ms = max(0, lease_ms + CLOCK_SKEW_MARGIN_MS - age_ms)
                 blocked_until_ms[machine] = now_ms + left_ms
         return blocked_until_ms
 
@@ -99,7 +99,7 @@
         self.ordered_ms = {
             machine: at_ms
             for machine, at_ms in self.ordered_ms.items()
-            if now_wall_ms - at_ms < RECENT_ORDERS_MS
+            if now_wall_ms - at_ms < ORDER_RETENTION_MS
         } | {intent.machine: now_wall_ms}
         decided_ms = monotonic_ms()
         assert self.nursery is not None
@@ -125,7 +125,7 @@
             if not isinstance(stored, Err):
                 self.aside_partition = partition
                 return await self._async_give(intent, decided_ms)
-            if monotonic_ms() - decided_ms > STALE_ORDER_MS:
+            if monotonic_ms() - decided_ms > MAX_ORDER_DELAY_MS:
                 break
         _LOGGER.warning(
             "an order can't be stored, so it isn't given",
@@ -138,7 +138,7 @@
         return msgspec.json.encode(self.ordered_ms)
 
     async def _async_give(self, intent: Intent, decided_ms: int) -> None:
-        if not self.may_order() or monotonic_ms() - decided_ms > STALE_ORDER_MS:
+        if not self.may_order() or monotonic_ms() - decided_ms > MAX_ORDER_DELAY_MS:
             intent.ordered_ms = None
             return
         ordered: Result[None, CallError]
--- a/heatherkeel/pooling/parking.py
+++ b/heatherkeel/pooling/parking.py
@@ -4,7 +4,7 @@
 
 from heatherkeel.platform.machines import Machine
 
-from .const import PARK_AFTER_MS, SURPLUS_GAP_MS
+from .const import MAX_SURPLUS_GAP_MS, STANDBY_DELAY_MS
 from .models import FleetState, Intent, Purpose, ShareView
 
 
@@ -49,9 +49,9 @@
     Counted, not named: which of its machines are the emptiest changes with every look.
     """
     view.surplus = [
-        (at_ms, known) for at_ms, known in view.surplus if state.now_ms - at_ms <= PARK_AFTER_MS
+        (at_ms, known) for at_ms, known in view.surplus if state.now_ms - at_ms <= STANDBY_DELAY_MS
     ]
     view.surplus.append((state.now_ms, count))
-    if state.now_ms - view.surplus[0][0] < PARK_AFTER_MS - SURPLUS_GAP_MS:
+    if state.now_ms - view.surplus[0][0] < STANDBY_DELAY_MS - MAX_SURPLUS_GAP_MS:
         return 0
     return min(known for _, known in view.surplus)
--- a/heatherkeel/pooling/reducer.py
+++ b/heatherkeel/pooling/reducer.py
@@ -8,7 +8,7 @@
 
 from heatherkeel.platform.errors import Failure
 
-from .const import DEPARTED_MS, LOAD_MAX_AGE_MS, ORDER_RETRY_MS, ORDER_SETTLE_MS
+from .const import DEPARTED_WORKER_MS, LOAD_MAX_AGE_MS, ORDER_RETRY_MS, ORDER_SETTLE_MS
 from .models import (
     DirectoryRead,
     FleetEffect,
@@ -106,7 +106,7 @@
     for name, intent in list(state.intents.items()):
         if _is_over(state, intent, event.sent_ms):
             del state.intents[name]
-            state.remember_departure(intent, until_ms=state.now_ms + DEPARTED_MS)
+            state.remember_departure(intent, until_ms=state.now_ms + DEPARTED_WORKER_MS)
     state.departed = {
         worker_id: departure
         for worker_id, departure in state.departed.items()
--- a/heatherkeel/pooling/supply.py
+++ b/heatherkeel/pooling/supply.py
@@ -9,17 +9,17 @@
 from heatherkeel.platform.machines import Machine
 
 from .const import (
-    ARRIVING_SHARE,
-    FEWEST_ARRIVALS,
-    FEWEST_LOST,
+    ARRIVAL_TARGET_UTILIZATION,
     FULL_SHARE,
-    KEEP_MS,
-    LEAD_MS,
+    LEAD_TIME_MS,
     LOAD_MAX_AGE_MS,
-    LOST_SHARE,
-    MOST_GROWTH,
-    MOST_UNHEARD_SHARE,
-    TREND_MS,
+    LOST_ZONE_FRACTION,
+    MAX_GROWTH_FACTOR,
+    MIN_ARRIVALS,
+    MIN_LOST_WORKERS,
+    MIN_RESPONSIVE_FRACTION,
+    PEAK_RETENTION_MS,
+    TREND_WINDOW_MS,
 )
 from .models import FleetState, Purpose, Share, ShareView
 
@@ -42,7 +42,7 @@
 def demanded_cpu(state: FleetState, share: Share) -> float:
     """Return what a share's jobs ask for, or soon will at the pace at which they come."""
     wanted_cpu = state.views[share].load.wanted_cpu
-    return max(wanted_cpu, _arriving_cpu(state, share) * FULL_SHARE / ARRIVING_SHARE)
+    return max(wanted_cpu, _arriving_cpu(state, share) * FULL_SHARE / ARRIVAL_TARGET_UTILIZATION)
 
 
 def _arriving_cpu(state: FleetState, share: Share) -> float:
@@ -59,12 +59,12 @@
         (
             known
             for at_ms, known in reversed(state.paces.get(share.pool, []))
-            if state.now_ms - at_ms >= TREND_MS
+            if state.now_ms - at_ms >= TREND_WINDOW_MS
         ),
         pace,
     )
-    rise = max(0.0, pace - earlier) * LEAD_MS / TREND_MS
-    return min(pace + rise, MOST_GROWTH * pace)
+    rise = max(0.0, pace - earlier) * LEAD_TIME_MS / TREND_WINDOW_MS
+    return min(pace + rise, MAX_GROWTH_FACTOR * pace)
 
 
 def _share_pace(state: FleetState, pool: str) -> float:
@@ -78,7 +78,7 @@
         for other, view in state.views.items()
         if other.pool == pool and state.now_ms - view.heard_ms <= LOAD_MAX_AGE_MS
     ]
-    if sum(load.arrivals for load in loads) < FEWEST_ARRIVALS:
+    if sum(load.arrivals for load in loads) < MIN_ARRIVALS:
         return 0.0
     return sum(load.arriving_cpu for load in loads) / len(loads)
 
@@ -89,7 +89,7 @@
         recent = [
             (at_ms, pace)
             for at_ms, pace in state.paces.get(pool, [])
-            if state.now_ms - at_ms <= 2 * TREND_MS
+            if state.now_ms - at_ms <= 2 * TREND_WINDOW_MS
         ]
         state.paces[pool] = [*recent, (state.now_ms, _share_pace(state, pool))]
 
@@ -99,7 +99,9 @@
     view = state.views[share]
     wanted = demanded_cpu(state, share)
     view.peaks = [
-        (at_ms, cpu) for at_ms, cpu in view.peaks if cpu > wanted and state.now_ms - at_ms < KEEP_MS
+        (at_ms, cpu)
+        for at_ms, cpu in view.peaks
+        if cpu > wanted and state.now_ms - at_ms < PEAK_RETENTION_MS
     ]
     view.peaks.append((state.now_ms, wanted))
 
@@ -125,7 +127,7 @@
     view = find_fresh(state, share)
     unheard = set(view.load.unheard) if view is not None else set()
     heard = [machine for machine in machines if machine.worker_id not in unheard]
-    return heard if len(heard) >= MOST_UNHEARD_SHARE * len(machines) else machines
+    return heard if len(heard) >= MIN_RESPONSIVE_FRACTION * len(machines) else machines
 
 
 def list_staying(state: FleetState) -> list[Machine]:
@@ -215,5 +217,5 @@
     return {
         zone
         for zone, count in unheard.items()
-        if count >= FEWEST_LOST and count > LOST_SHARE * known[zone]
+        if count >= MIN_LOST_WORKERS and count > LOST_ZONE_FRACTION * known[zone]
     }
--- a/heatherkeel/pooling/waves.py
+++ b/heatherkeel/pooling/waves.py
@@ -6,7 +6,13 @@
 
 from heatherkeel.platform.machines import Machine
 
-from .const import BUSY_SHARE, MAINTENANCE_CYCLE_S, ONE_AT_A_TIME_SHARE, PACE_MARGIN, SLOW_SHARE
+from .const import (
+    BUSY_UTILIZATION,
+    MAINTENANCE_CYCLE_S,
+    MAX_SLOW_FRACTION,
+    MAX_UNAVAILABLE_FRACTION,
+    WAVE_SCHEDULE_MARGIN,
+)
 from .models import FleetState, Intent, Purpose, WaveProgress
 
 
@@ -49,9 +55,9 @@
                 continue
             slow_left -= 1
         if not state.is_standby(machine.pool):
-            if not hurry and loads[machine.pool] > BUSY_SHARE:
+            if not hurry and loads[machine.pool] > BUSY_UTILIZATION:
                 continue
-            allowed = max(1, int(ONE_AT_A_TIME_SHARE * sizes.get(machine.pool, 0)))
+            allowed = max(1, int(MAX_UNAVAILABLE_FRACTION * sizes.get(machine.pool, 0)))
             if out.get(machine.pool, 0) >= allowed:
                 continue
             out[machine.pool] = out.get(machine.pool, 0) + 1
@@ -118,7 +124,7 @@
         and (machine := state.machines.get(intent.machine)) is not None
         and _has_lasting(state, machine)
     )
-    return max(1, int(SLOW_SHARE * progress.wave.max_down)) - emptying
+    return max(1, int(MAX_SLOW_FRACTION * progress.wave.max_down)) - emptying
 
 
 def _pool_loads(state: FleetState) -> dict[str, float]:
@@ -162,7 +168,7 @@
     """
     elapsed_s = (state.now_ms - progress.began_ms) / 1000
     left_s = max(MAINTENANCE_CYCLE_S, progress.wave.duration_s - elapsed_s)
-    return ceil(PACE_MARGIN * left * MAINTENANCE_CYCLE_S / left_s)
+    return ceil(WAVE_SCHEDULE_MARGIN * left * MAINTENANCE_CYCLE_S / left_s)
 
 
 def _is_late(state: FleetState, progress: WaveProgress, due: int) -> bool:
--- a/tests/pooling/test_departed.py
+++ b/tests/pooling/test_departed.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from heatherkeel.platform.operator import Wave
-from heatherkeel.pooling.const import DEPARTED_MS
+from heatherkeel.pooling.const import DEPARTED_WORKER_MS
 from heatherkeel.pooling.models import OrderMachine, Share
 
 from .fleet import Fleet
@@ -45,7 +45,7 @@
     fleet.pool_of[machine] = "spare"
     fleet.now_ms += 100
     fleet.list_machines()
-    fleet.now_ms += DEPARTED_MS
+    fleet.now_ms += DEPARTED_WORKER_MS
     fleet.list_machines()
     assert f"i-{machine}" not in fleet.state.leaving_workers().get(0, [])
     assert not fleet.state.departed
--- a/tests/pooling/test_parking.py
+++ b/tests/pooling/test_parking.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from heatherkeel.pooling.const import KEEP_MS, PARK_AFTER_MS
+from heatherkeel.pooling.const import PEAK_RETENTION_MS, STANDBY_DELAY_MS
 from heatherkeel.pooling.models import Purpose
 
 from .fleet import CPU, Fleet
@@ -16,7 +16,7 @@
     Parked first and fetched back it would be away twice, and the turn would wait for both moves.
     """
     fleet = Fleet(desk=20, portal=10, spare=0)
-    for _ in range((KEEP_MS + PARK_AFTER_MS) // LOOK_MS + 2):
+    for _ in range((PEAK_RETENTION_MS + STANDBY_DELAY_MS) // LOOK_MS + 2):
         fleet.measure(desk=0, portal=0)
         fleet.plan(after_ms=LOOK_MS)
     assert any(intent.pool == "spare" for intent in fleet.state.intents.values())
@@ -29,7 +29,7 @@
 def test_order_to_park_that_has_left_stands() -> None:
     """The machine may have gone: it counts as away until the list tells where it is."""
     fleet = Fleet(desk=20, portal=10, spare=0)
-    for _ in range((KEEP_MS + PARK_AFTER_MS) // LOOK_MS + 2):
+    for _ in range((PEAK_RETENTION_MS + STANDBY_DELAY_MS) // LOOK_MS + 2):
         fleet.empty = set(fleet.pool_of)
         fleet.measure(desk=0, portal=0)
         fleet.plan(after_ms=LOOK_MS)
--- a/tests/pooling/test_plans.py
+++ b/tests/pooling/test_plans.py
@@ -6,7 +6,7 @@
 
 from heatherkeel.platform.errors import CallError, Failure
 from heatherkeel.platform.operator import Wave
-from heatherkeel.pooling.const import KEEP_MS, PARK_AFTER_MS
+from heatherkeel.pooling.const import PEAK_RETENTION_MS, STANDBY_DELAY_MS
 from heatherkeel.pooling.models import Purpose, SaveWave
 from heatherkeel.questions.messages import Need
 
@@ -55,7 +55,7 @@
 
 def test_surplus_is_parked_only_after_a_while_and_not_below_the_floor() -> None:
     fleet = Fleet(desk=6, spare=1)
-    for _ in range((KEEP_MS + PARK_AFTER_MS) // 100 + 2):
+    for _ in range((PEAK_RETENTION_MS + STANDBY_DELAY_MS) // 100 + 2):
         fleet.measure(desk=0)
         fleet.plan()
     parked = [intent for intent in fleet.state.intents.values() if intent.pool == "spare"]
@@ -214,7 +214,7 @@
     """After a turn the processor is idle, and what lasts still needs the machines."""
     fleet = Fleet(desk=8, spare=1)
     fleet.wanted_memory_mb["desk"] = 6 * MEMORY_MB
-    for _ in range((PARK_AFTER_MS + KEEP_MS) // 100 + 10):
+    for _ in range((STANDBY_DELAY_MS + PEAK_RETENTION_MS) // 100 + 10):
         fleet.measure(desk=0)
         fleet.plan()
     assert not fleet.state.intents
--- a/tests/pooling/test_rising_pace.py
+++ b/tests/pooling/test_rising_pace.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from heatherkeel.pooling.const import LEAD_MS, MOST_GROWTH, TREND_MS
+from heatherkeel.pooling.const import LEAD_TIME_MS, MAX_GROWTH_FACTOR, TREND_WINDOW_MS
 from heatherkeel.pooling.supply import demanded_cpu
 
 from .fleet import CPU, Fleet
@@ -36,8 +36,8 @@
     fleet = Fleet(desk=2, spare=60)
     paces = rising(5, 4)
     asked = play(fleet, paces)
-    later = round(LEAD_MS / STEP_MS)
-    for step in range(round(TREND_MS / STEP_MS) + 1, len(paces) - later):
+    later = round(LEAD_TIME_MS / STEP_MS)
+    for step in range(round(TREND_WINDOW_MS / STEP_MS) + 1, len(paces) - later):
         assert asked[step] + 2 >= paces[step + later] / 1.15 - 1
 
 
@@ -57,7 +57,7 @@
     fleet = Fleet(desk=2, spare=60)
     play(fleet, [0.0] * 20 + [10.0])
     view = next(iter(fleet.state.views))
-    assert demanded_cpu(fleet.state, view) <= MOST_GROWTH * 10 * CPU
+    assert demanded_cpu(fleet.state, view) <= MAX_GROWTH_FACTOR * 10 * CPU
 
 
 def test_pace_that_falls_is_not_taken_to_fall_further() -> None:
--- a/tests/pooling/test_shares.py
+++ b/tests/pooling/test_shares.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from heatherkeel.pooling.const import KEEP_MS, PARK_AFTER_MS
+from heatherkeel.pooling.const import PEAK_RETENTION_MS, STANDBY_DELAY_MS
 from heatherkeel.pooling.models import DirectoryRead, Share
 
 from .fleet import CPU, Fleet
@@ -28,7 +28,7 @@
 def test_share_that_is_not_heard_gets_and_gives_nothing() -> None:
     """One partition's owner is gone, the other's goes on: its load says nothing of the first."""
     fleet = Fleet(shares=2, desk=12, spare=4)
-    for _ in range((PARK_AFTER_MS + KEEP_MS) // 100 + 5):
+    for _ in range((STANDBY_DELAY_MS + PEAK_RETENTION_MS) // 100 + 5):
         fleet.measure(partition=0, desk=0)
         intents = fleet.plan()
         for intent in intents:
@@ -39,7 +39,7 @@
     """Between turns a third of each share stays: what one has beyond it doesn't help the other."""
     fleet = Fleet(shares=2, desk=24, spare=0)
     gone: set[str] = set()
-    for _ in range((PARK_AFTER_MS + KEEP_MS) // 100 * 3):
+    for _ in range((STANDBY_DELAY_MS + PEAK_RETENTION_MS) // 100 * 3):
         for partition in range(2):
             fleet.measure(partition=partition, desk=0)
         fleet.plan()
@@ -60,7 +60,7 @@
         DirectoryRead(now_ms=fleet.now_ms, services=fleet.state.services, waves={}, layout=layout)
     )
     gone: set[str] = set()
-    for _ in range((PARK_AFTER_MS + KEEP_MS) // 100 * 3):
+    for _ in range((STANDBY_DELAY_MS + PEAK_RETENTION_MS) // 100 * 3):
         fleet.measure(desk=0)
         fleet.plan()
         gone |= fleet.state.intents.keys()
