--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -90,7 +90,7 @@
             journal=self.journal,
             client=self.client,
             may_order=may_order,
-            on_answered=self._take,
+            on_answered=self._handle,
         )
         self.scope = trio.CancelScope()
         self.nursery: trio.Nursery | None = None
@@ -123,7 +123,7 @@
         lease_ms = self.settings.bounds.machine_lease_ms
         blocked = await self.orders.async_restore(own, lease_ms=lease_ms)
         self.state.blocked_until_ms.update(blocked)
-        self._take_directory()
+        self._read_directory()
         for record in own:
             if record.key.startswith(STATUS_PREFIX) and record.value:
                 self._restore_wave(record)
@@ -141,9 +141,9 @@
         if progress is not None:
             restore_wave(progress, record.value, now_ms=monotonic_ms(), wall_ms=wall_ms())
 
-    def _take_directory(self) -> None:
+    def _read_directory(self) -> None:
         known = self.directory.state
-        self._take(
+        self._handle(
             DirectoryRead(
                 now_ms=monotonic_ms(),
                 services=known.services,
@@ -162,7 +162,7 @@
                     extra={"event": "machines_unread", "detail": listed.err_value.detail},
                 )
             else:
-                self._take(
+                self._handle(
                     MachinesListed(now_ms=monotonic_ms(), machines=listed.ok_value, sent_ms=sent_ms)
                 )
             await trio.sleep(LIST_INTERVAL_MS / 1000)
@@ -170,9 +170,9 @@
     async def _async_plan(self) -> None:
         while True:
             self._extend_layout()
-            self._take_directory()
+            self._read_directory()
             await self._async_measure()
-            self._take(PlanDue(now_ms=monotonic_ms(), may_order=self.may_order()))
+            self._handle(PlanDue(now_ms=monotonic_ms(), may_order=self.may_order()))
             await trio.sleep(PLAN_INTERVAL_MS / 1000)
 
     def _extend_layout(self) -> None:
@@ -226,20 +226,20 @@
             return
         answer = await self.links.async_ask(address, question)
         if isinstance(answer, PoolsTold):
-            self._take(
+            self._handle(
                 PoolsMeasured(now_ms=monotonic_ms(), partition=partition, loads=answer.pools)
             )
         else:
             await self.holders.async_find(partition, but_not=address)
 
-    def _take(self, event: FleetEvent) -> None:
+    def _handle(self, event: FleetEvent) -> None:
         for effect in reduce_fleet(self.state, event):
             self._perform(effect)
 
     def _perform(self, effect: FleetEffect) -> None:
         match effect:
             case OrderMachine():
-                self.orders.give(effect.intent)
+                self.orders.send(effect.intent)
             case SaveWave():
                 self._save_wave(effect.progress)
 
@@ -249,14 +249,14 @@
         self.journal.put(
             key, lambda: encode_wave(progress, now_ms=monotonic_ms(), wall_ms=wall_ms())
         )
-        self.journal.when_stored(lambda: self._tell_wave(key, progress))
+        self.journal.when_stored(lambda: self._report_wave(key, progress))
 
-    def _tell_wave(self, key: str, progress: WaveProgress) -> None:
+    def _report_wave(self, key: str, progress: WaveProgress) -> None:
         assert self.nursery is not None
         if progress.is_complete or not progress.begun:
-            self.nursery.start_soon(self._async_tell_wave, key, progress.is_complete)
+            self.nursery.start_soon(self._async_report_wave, key, progress.is_complete)
 
-    async def _async_tell_wave(self, key: str, is_complete: bool) -> None:
+    async def _async_report_wave(self, key: str, is_complete: bool) -> None:
         record = KeyedRecord(key=key, value=encode_wave_status(is_complete=is_complete))
         while True:
             written = await self.store.async_append(STATUS_TOPIC, 0, [record])
--- a/heatherkeel/pooling/models.py
+++ b/heatherkeel/pooling/models.py
@@ -41,11 +41,11 @@
     began_ms: int
     ordered_ms: int | None = None
     """When the order was last given."""
-    is_carried_out: bool = False
+    is_confirmed: bool = False
     """The order was answered with success."""
 
 
-class Departure(NamedTuple):
+class DepartedWorker(NamedTuple):
     """A worker whose machine has gone, though its entry may stand for some seconds more."""
 
     partition: int
@@ -68,7 +68,7 @@
     """A share's load as last told, and its recent highest."""
 
     load: PoolLoad
-    heard_ms: int
+    received_ms: int
     peaks: list[tuple[int, float]] = field(default_factory=list)
     """When which processor was wanted, the highest of later ones only."""
     surplus: list[tuple[int, int]] = field(default_factory=list)
@@ -86,15 +86,15 @@
     services: dict[str, Service] = field(default_factory=dict)
     layout: Layout = field(default_factory=Layout)
     views: dict[Share, ShareView] = field(default_factory=dict)
-    paces: dict[str, list[tuple[int, float]]] = field(default_factory=dict)
+    arrival_rates: dict[str, list[tuple[int, float]]] = field(default_factory=dict)
     """When which pace of arrivals was seen in a pool, as a share's part of it."""
     waves: dict[int, WaveProgress] = field(default_factory=dict)
     intents: dict[str, Intent] = field(default_factory=dict)
-    departed: dict[str, Departure] = field(default_factory=dict)
+    departed: dict[str, DepartedWorker] = field(default_factory=dict)
     """Workers whose machines were ordered away and have gone, by their ids."""
     blocked_until_ms: dict[str, int] = field(default_factory=dict)
     """Machines that an earlier owner has ordered away just now, and until when we may not."""
-    told_ms: int = 0
+    logged_ms: int = 0
     """When the log was last told how the pools stand."""
 
     def standby_pool(self) -> str | None:
@@ -120,7 +120,7 @@
         partition = self.layout.partition_of_machine(pool, machine)
         return None if partition is None else Share(pool=pool, partition=partition)
 
-    def home_size(self, share: Share) -> float:
+    def initial_size(self, share: Share) -> float:
         """Return how many machines a share had at first, on average of its pool's shares."""
         shares = self.layout.partitions_of(share.pool)
         return self.layout.homes.get(share.pool, 0) / len(shares) if shares else 0.0
@@ -160,7 +160,7 @@
         share_now = self.share_of(intent.machine, intent.from_pool)
         return None if share_now is None else share_now.partition
 
-    def remember_departure(self, intent: Intent, *, until_ms: int) -> None:
+    def record_departure(self, intent: Intent, *, until_ms: int) -> None:
         """Keep tasks from a worker whose machine the list shows in another life."""
         if intent.worker_id is None or intent.ordered_ms is None:
             return
@@ -169,7 +169,7 @@
             return
         partition = self._partition_of(intent)
         if partition is not None:
-            self.departed[intent.worker_id] = Departure(partition=partition, until_ms=until_ms)
+            self.departed[intent.worker_id] = DepartedWorker(partition=partition, until_ms=until_ms)
 
     def due_workers(self) -> list[str]:
         """Return the workers whose machines still have to be maintained."""
--- a/heatherkeel/pooling/ordering.py
+++ b/heatherkeel/pooling/ordering.py
@@ -50,7 +50,7 @@
         self.client = client
         self.may_order = may_order
         self.on_answered = on_answered
-        self.aside_partition = 0
+        self.fallback_partition = 0
         """Where the last order that was stored aside stands."""
         self.ordered_ms: dict[str, int] = {}
         """When each machine was ordered away last, in milliseconds since 1970."""
@@ -70,7 +70,7 @@
         """
         blocked_until_ms: dict[str, int] = {}
         now_ms = monotonic_ms()
-        for record in [*own, *await self._async_read_aside()]:
+        for record in [*own, *await self._async_read_fallback()]:
             if record.key != ORDERS_KEY or not record.value:
                 continue
             for machine, at_ms in msgspec.json.decode(record.value, type=dict[str, int]).items():
@@ -80,7 +80,7 @@
                 blocked_until_ms[machine] = now_ms + left_ms
         return blocked_until_ms
 
-    async def _async_read_aside(self) -> list[KeyedRecord]:
+    async def _async_read_fallback(self) -> list[KeyedRecord]:
         """Read the orders that were stored aside; a partition that is down is waited for."""
         records: list[KeyedRecord] = []
 
@@ -93,7 +93,7 @@
                 nursery.start_soon(async_read, partition)
         return records
 
-    def give(self, intent: Intent) -> None:
+    def send(self, intent: Intent) -> None:
         """Store that a machine is ordered away, and then give the order."""
         now_wall_ms = wall_ms()
         self.ordered_ms = {
@@ -105,12 +105,12 @@
         assert self.nursery is not None
         nursery = self.nursery
         if not self.journal.connected:
-            nursery.start_soon(self._async_give_aside, intent, decided_ms)
+            nursery.start_soon(self._async_send_via_fallback, intent, decided_ms)
             return
         self.journal.put(ORDERS_KEY, self._encode)
-        self.journal.when_stored(lambda: nursery.start_soon(self._async_give, intent, decided_ms))
+        self.journal.when_stored(lambda: nursery.start_soon(self._async_send, intent, decided_ms))
 
-    async def _async_give_aside(self, intent: Intent, decided_ms: int) -> None:
+    async def _async_send_via_fallback(self, intent: Intent, decided_ms: int) -> None:
         """Store an order wherever it can be, and give it, while our own partition is down.
 
         Parts of the store may be down for seconds while the rest works, and with them no pool
@@ -118,13 +118,13 @@
         these records too.
         """
         record = KeyedRecord(key=ORDERS_KEY, value=self._encode())
-        first = self.aside_partition
+        first = self.fallback_partition
         for further in range(self.partitions):
             partition = (first + further) % self.partitions
             stored = await self.store.async_append(ORDERS_TOPIC, partition, [record])
             if not isinstance(stored, Err):
-                self.aside_partition = partition
-                return await self._async_give(intent, decided_ms)
+                self.fallback_partition = partition
+                return await self._async_send(intent, decided_ms)
             if monotonic_ms() - decided_ms > MAX_ORDER_DELAY_MS:
                 break
         _LOGGER.warning(
@@ -137,7 +137,7 @@
     def _encode(self) -> bytes:
         return msgspec.json.encode(self.ordered_ms)
 
-    async def _async_give(self, intent: Intent, decided_ms: int) -> None:
+    async def _async_send(self, intent: Intent, decided_ms: int) -> None:
         if not self.may_order() or monotonic_ms() - decided_ms > MAX_ORDER_DELAY_MS:
             intent.ordered_ms = None
             return
--- a/heatherkeel/pooling/parking.py
+++ b/heatherkeel/pooling/parking.py
@@ -1,4 +1,4 @@
-"""When a machine that no share needs goes to the standby pool."""
+"""Chooses surplus machines to move to the standby pool."""
 
 from __future__ import annotations
 
@@ -8,45 +8,45 @@
 from .models import FleetState, Intent, Purpose, ShareView
 
 
-def choose_parked(state: FleetState, donors: list[Machine]) -> list[Machine]:
-    """Return the machines to send to the standby pool: those spared all the last while."""
-    parked = []
+def choose_for_standby(state: FleetState, candidates: list[Machine]) -> list[Machine]:
+    """Return the machines to move to the standby pool: those surplus for the whole delay."""
+    chosen = []
     for share, view in state.views.items():
         surplus = [
             machine
-            for machine in donors
+            for machine in candidates
             if machine.pool == share.pool and state.share_of(machine.name, share.pool) == share
         ]
-        least = _least_surplus(state, view, len(surplus))
-        parked += surplus[:least]
+        least = _min_surplus(state, view, len(surplus))
+        chosen += surplus[:least]
         if least:
             view.surplus.clear()
-    return parked
+    return chosen
 
 
-def take_back_parking(state: FleetState) -> bool:
-    """Keep machines that were about to be parked, and aren't ordered away; says if there are any.
+def cancel_unsent_standby_moves(state: FleetState) -> bool:
+    """Cancel moves to the standby pool that weren't ordered yet; return whether there were any.
 
-    A share is short again, and such a machine may help it, or its own, without a way back.
+    A share has a shortfall again, and its machines can come directly from these.
     """
     unsent = [
         name
         for name, intent in state.intents.items()
-        if intent.ordered_ms is None and _is_parking(state, intent)
+        if intent.ordered_ms is None and _is_standby_move(state, intent)
     ]
     for name in unsent:
         del state.intents[name]
     return bool(unsent)
 
 
-def _is_parking(state: FleetState, intent: Intent) -> bool:
+def _is_standby_move(state: FleetState, intent: Intent) -> bool:
     return intent.purpose is Purpose.MOVE and state.is_standby(intent.pool)
 
 
-def _least_surplus(state: FleetState, view: ShareView, count: int) -> int:
-    """Return how many machines a share could spare at any time of the last while.
+def _min_surplus(state: FleetState, view: ShareView, count: int) -> int:
+    """Return the lowest surplus of a share during the standby delay.
 
-    Counted, not named: which of its machines are the emptiest changes with every look.
+    Only the number is tracked, since the least used machines change with each measurement.
     """
     view.surplus = [
         (at_ms, known) for at_ms, known in view.surplus if state.now_ms - at_ms <= STANDBY_DELAY_MS
--- a/heatherkeel/pooling/reducer.py
+++ b/heatherkeel/pooling/reducer.py
@@ -27,9 +27,9 @@
     WaveProgress,
 )
 from .moves import plan_moves
-from .parking import take_back_parking
-from .supply import measure_supply, remember_peak
-from .telling import tell_pools
+from .parking import cancel_unsent_standby_moves
+from .supply import measure_supply, record_peak
+from .telling import log_pools
 from .waves import plan_maintenance
 
 _LOGGER = logging.getLogger(__name__)
@@ -63,7 +63,7 @@
 
 
 @handles(DirectoryRead)
-def take_directory(state: FleetState, event: DirectoryRead) -> list[FleetEffect]:
+def apply_directory(state: FleetState, event: DirectoryRead) -> list[FleetEffect]:
     """Take in services and waves; a wave that is new is told to be in progress."""
     state.services = event.services
     state.layout = event.layout
@@ -85,28 +85,28 @@
 
 
 @handles(PoolsMeasured)
-def take_loads(state: FleetState, event: PoolsMeasured) -> list[FleetEffect]:
+def record_loads(state: FleetState, event: PoolsMeasured) -> list[FleetEffect]:
     """Take in the loads of one partition's shares."""
     for load in event.loads:
         share = Share(pool=load.service, partition=event.partition)
         view = state.views.get(share)
         if view is None:
-            view = state.views[share] = ShareView(load=load, heard_ms=state.now_ms)
+            view = state.views[share] = ShareView(load=load, received_ms=state.now_ms)
         view.load = load
-        view.heard_ms = state.now_ms
-        remember_peak(state, share)
+        view.received_ms = state.now_ms
+        record_peak(state, share)
     return []
 
 
 @handles(MachinesListed)
-def take_machines(state: FleetState, event: MachinesListed) -> list[FleetEffect]:
+def apply_machine_list(state: FleetState, event: MachinesListed) -> list[FleetEffect]:
     """Take in the list of machines, and end what it shows to be done."""
     state.machines = {machine.name: machine for machine in event.machines}
     state.listed_ms = event.sent_ms
     for name, intent in list(state.intents.items()):
-        if _is_over(state, intent, event.sent_ms):
+        if _is_finished(state, intent, event.sent_ms):
             del state.intents[name]
-            state.remember_departure(intent, until_ms=state.now_ms + DEPARTED_WORKER_MS)
+            state.record_departure(intent, until_ms=state.now_ms + DEPARTED_WORKER_MS)
     state.departed = {
         worker_id: departure
         for worker_id, departure in state.departed.items()
@@ -115,7 +115,7 @@
     return []
 
 
-def _is_over(state: FleetState, intent: Intent, sent_ms: int) -> bool:
+def _is_finished(state: FleetState, intent: Intent, sent_ms: int) -> bool:
     """Say whether a list that was asked for at a time shows that an intent has come true.
 
     An order without an answer may be carried out seconds later, so its machine isn't used for
@@ -128,7 +128,7 @@
         return not machine.is_up()
     if sent_ms <= intent.ordered_ms:
         return False
-    if intent.is_carried_out:
+    if intent.is_confirmed:
         return machine.is_up()
     if state.now_ms - intent.ordered_ms > ORDER_SETTLE_MS:
         return True
@@ -137,13 +137,13 @@
 
 
 @handles(OrderAnswered)
-def take_order_answer(state: FleetState, event: OrderAnswered) -> list[FleetEffect]:
+def handle_order_answer(state: FleetState, event: OrderAnswered) -> list[FleetEffect]:
     """Take in how an order went."""
     intent = state.intents.get(event.machine)
     if intent is None:
         return []
     if event.error is None:
-        intent.is_carried_out = True
+        intent.is_confirmed = True
         intent.ordered_ms = state.now_ms
         _LOGGER.info(
             "machine ordered away",
@@ -157,7 +157,7 @@
                 "took_ms": state.now_ms - intent.began_ms,
             },
         )
-        return _count_begun(state, intent)
+        return _record_begun(state, intent)
     _LOGGER.warning(
         "order for a machine failed",
         extra={
@@ -173,7 +173,7 @@
     return []
 
 
-def _count_begun(state: FleetState, intent: Intent) -> list[FleetEffect]:
+def _record_begun(state: FleetState, intent: Intent) -> list[FleetEffect]:
     progress = state.waves.get(intent.wave)
     if intent.purpose is not Purpose.MAINTAIN or progress is None:
         return []
@@ -185,35 +185,35 @@
 def plan(state: FleetState, event: PlanDue) -> list[FleetEffect]:
     """Decide which machines are to go, and order away those that are empty."""
     if not event.may_order:
-        _drop_plans(state)
+        _cancel_unsent(state)
         return []
     if state.listed_ms is None:
         return []
     supply = measure_supply(state)
-    if supply.short and take_back_parking(state):
+    if supply.shortfall and cancel_unsent_standby_moves(state):
         supply = measure_supply(state)
-    tell_pools(state, supply)
-    maintained = plan_maintenance(state, is_short=bool(supply.short))
+    log_pools(state, supply)
+    maintained = plan_maintenance(state, has_shortfall=bool(supply.shortfall))
     for intent in maintained + plan_moves(state, supply):
         if intent.machine not in state.intents:
             state.intents[intent.machine] = intent
-            _tell_intent(intent)
+            _log_intent(intent)
     effects: list[FleetEffect] = []
     for intent in state.intents.values():
-        if not intent.is_carried_out and _is_empty(state, intent) and _is_time(state, intent):
+        if not intent.is_confirmed and _is_empty(state, intent) and _is_order_due(state, intent):
             intent.ordered_ms = state.now_ms
             effects.append(OrderMachine(intent=intent))
     return effects + _complete_waves(state)
 
 
-def _drop_plans(state: FleetState) -> None:
+def _cancel_unsent(state: FleetState) -> None:
     """Let machines serve on that no order was given for: none can be given now."""
     for name, intent in list(state.intents.items()):
         if intent.ordered_ms is None:
             del state.intents[name]
 
 
-def _tell_intent(intent: Intent) -> None:
+def _log_intent(intent: Intent) -> None:
     _LOGGER.info(
         "machine is to go",
         extra={
@@ -227,7 +227,7 @@
     )
 
 
-def _is_time(state: FleetState, intent: Intent) -> bool:
+def _is_order_due(state: FleetState, intent: Intent) -> bool:
     if state.now_ms < state.blocked_until_ms.get(intent.machine, 0):
         return False
     return intent.ordered_ms is None or state.now_ms - intent.ordered_ms >= ORDER_RETRY_MS
@@ -243,7 +243,7 @@
     return any(
         intent.worker_id in view.load.empty
         for view in state.views.values()
-        if state.now_ms - view.heard_ms < LOAD_MAX_AGE_MS
+        if state.now_ms - view.received_ms < LOAD_MAX_AGE_MS
     )
 
 
--- a/heatherkeel/pooling/telling.py
+++ b/heatherkeel/pooling/telling.py
@@ -1,4 +1,4 @@
-"""Tells the log how the pools stand, from which a day's machines can be reckoned afterwards."""
+"""Logs the state of the pools at intervals."""
 
 from __future__ import annotations
 
@@ -11,52 +11,52 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-TELL_INTERVAL_MS: Final = 1000
-"""Time between two lines, in milliseconds: a pool's turn lasts for some seconds."""
+LOG_INTERVAL_MS: Final = 1000
+"""Time between two log lines, in milliseconds."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ShareLine:
-    """A share as it stands; processor in thousandths of a core."""
+class ShareStatus:
+    """The state of a share as it is logged; processor in thousandths of a core."""
 
     pool: str
     partition: int
     machines: int
     lacking: int
     leaving: int
-    """Machines that are to go and are being emptied, or were ordered away."""
+    """Machines that are being emptied or were ordered away."""
     pinned: int
-    """Machines that can't be sent away, since a lasting task is there."""
+    """Machines that can't leave because they run a long-running task."""
     used_cpu: int
     wanted_cpu: int
     age_ms: int
-    """How old the load is that this was decided by."""
+    """Age of the share's load in milliseconds; -1 if it is unknown."""
 
 
-def tell_pools(state: FleetState, supply: Supply) -> None:
-    """Write one line on all shares, once in a while."""
-    if state.now_ms - state.told_ms < TELL_INTERVAL_MS:
+def log_pools(state: FleetState, supply: Supply) -> None:
+    """Log the state of all shares, at most once per interval."""
+    if state.now_ms - state.logged_ms < LOG_INTERVAL_MS:
         return
-    state.told_ms = state.now_ms
+    state.logged_ms = state.now_ms
     lines = [asdict(_describe(state, supply, share)) for share in supply.members]
     _LOGGER.info("pools", extra={"event": "pools", "shares": lines})
 
 
-def _describe(state: FleetState, supply: Supply, share: Share) -> ShareLine:
+def _describe(state: FleetState, supply: Supply, share: Share) -> ShareStatus:
     view = state.views.get(share)
     leaving = sum(
         1
         for intent in state.intents.values()
         if state.share_of(intent.machine, intent.from_pool) == share
     )
-    return ShareLine(
+    return ShareStatus(
         pool=share.pool,
         partition=share.partition,
         machines=len(supply.members[share]),
-        lacking=supply.short.get(share, 0),
+        lacking=supply.shortfall.get(share, 0),
         leaving=leaving,
         pinned=len(view.load.lasting) if view else 0,
         used_cpu=view.load.used_cpu if view else 0,
         wanted_cpu=round(demanded_cpu(state, share)) if view else 0,
-        age_ms=state.now_ms - view.heard_ms if view else -1,
+        age_ms=state.now_ms - view.received_ms if view else -1,
     )
--- a/heatherkeel/pooling/waves.py
+++ b/heatherkeel/pooling/waves.py
@@ -1,4 +1,4 @@
-"""Which machines to maintain next."""
+"""Chooses the machines to maintain next."""
 
 from __future__ import annotations
 
@@ -16,51 +16,51 @@
 from .models import FleetState, Intent, Purpose, WaveProgress
 
 
-def plan_maintenance(state: FleetState, *, is_short: bool) -> list[Intent]:
-    """Return the machines to empty for maintenance now; `is_short` if a pool lacks machines."""
+def plan_maintenance(state: FleetState, *, has_shortfall: bool) -> list[Intent]:
+    """Return the maintenance to begin now; `has_shortfall` if a pool lacks machines."""
     intents: list[Intent] = []
     for progress in state.waves.values():
         if not progress.is_complete:
-            intents += _plan_wave(state, progress, intents, is_short=is_short)
+            intents += _plan_wave(state, progress, intents, has_shortfall=has_shortfall)
     return intents
 
 
 def _plan_wave(
-    state: FleetState, progress: WaveProgress, planned: list[Intent], *, is_short: bool
+    state: FleetState, progress: WaveProgress, planned: list[Intent], *, has_shortfall: bool
 ) -> list[Intent]:
-    taken = state.intents.keys() | {intent.machine for intent in planned}
+    reserved = state.intents.keys() | {intent.machine for intent in planned}
     due = [
         machine
         for name in progress.wave.machines
         if name not in progress.begun
-        and name not in taken
+        and name not in reserved
         and (machine := state.machines.get(name)) is not None
         and machine.is_up()
     ]
     down = count_down(state, progress)
     slots = progress.wave.max_down - down
-    if is_short:
-        slots = min(slots, _pace(state, progress, len(due) + down) - down)
-    out = _count_out(state, planned)
+    if has_shortfall:
+        slots = min(slots, _required_down(state, progress, len(due) + down) - down)
+    unavailable = _count_unavailable(state, planned)
     sizes = _pool_sizes(state)
     loads = _pool_loads(state)
-    hurry = _is_late(state, progress, len(due))
+    is_late = _is_late(state, progress, len(due))
     slow_left = _count_slow_slots(state, progress)
     intents: list[Intent] = []
     for machine in sorted(due, key=lambda machine: _rank(state, machine, loads)):
         if len(intents) >= slots:
             break
-        if _has_lasting(state, machine):
+        if _has_long_running_task(state, machine):
             if slow_left <= 0:
                 continue
             slow_left -= 1
         if not state.is_standby(machine.pool):
-            if not hurry and loads[machine.pool] > BUSY_UTILIZATION:
+            if not is_late and loads[machine.pool] > BUSY_UTILIZATION:
                 continue
             allowed = max(1, int(MAX_UNAVAILABLE_FRACTION * sizes.get(machine.pool, 0)))
-            if out.get(machine.pool, 0) >= allowed:
+            if unavailable.get(machine.pool, 0) >= allowed:
                 continue
-            out[machine.pool] = out.get(machine.pool, 0) + 1
+            unavailable[machine.pool] = unavailable.get(machine.pool, 0) + 1
         intents.append(
             Intent(
                 machine=machine.name,
@@ -75,7 +75,7 @@
 
 
 def count_down(state: FleetState, progress: WaveProgress) -> int:
-    """Count the wave's machines that are down, or may be, or are being emptied for it."""
+    """Count a wave's machines that are, or may be, down or being emptied for it."""
     down = {
         name
         for name in progress.wave.machines
@@ -92,29 +92,28 @@
 def _rank(
     state: FleetState, machine: Machine, loads: dict[str, float]
 ) -> tuple[bool, bool, float, int, str]:
-    """Order machines that are off first, then what takes longest to empty, then the idlest.
+    """Rank machines for maintenance: standby ones, then the slowest to empty, then the idlest.
 
-    Lasting tasks leave one after the other, as far as their step's budget allows: emptying took up
-    to 14 s where others take 0.4 s. Left for last, two of 147 machines were a second late.
+    Long-running tasks leave one at a time within their step's budget, so machines with them would
+    be late if they came last.
     """
     if state.is_standby(machine.pool):
         return (False, False, 0.0, 0, machine.name)
     view = state.view_of(machine)
     used = view.load.workers.get(machine.worker_id or "", 0) if view else 0
-    is_quick = not _has_lasting(state, machine)
+    is_quick = not _has_long_running_task(state, machine)
     return (True, is_quick, loads[machine.pool], used, machine.name)
 
 
-def _has_lasting(state: FleetState, machine: Machine) -> bool:
+def _has_long_running_task(state: FleetState, machine: Machine) -> bool:
     view = state.view_of(machine)
     return view is not None and machine.worker_id in view.load.lasting
 
 
 def _count_slow_slots(state: FleetState, progress: WaveProgress) -> int:
-    """Return how many more machines with lasting tasks may be emptied for a wave now.
+    """Return how many more machines with long-running tasks may be emptied for a wave now.
 
-    Each keeps a place among those that are down for as long as it is emptied, so the others of the
-    wave go on through the rest of the places.
+    The limit leaves some of the wave's concurrency to machines that empty quickly.
     """
     emptying = sum(
         1
@@ -122,23 +121,23 @@
         if intent.wave == progress.wave.number
         and intent.purpose is Purpose.MAINTAIN
         and (machine := state.machines.get(intent.machine)) is not None
-        and _has_lasting(state, machine)
+        and _has_long_running_task(state, machine)
     )
     return max(1, int(MAX_SLOW_FRACTION * progress.wave.max_down)) - emptying
 
 
 def _pool_loads(state: FleetState) -> dict[str, float]:
-    """Return for each pool the share of its processor that is wanted; 1 where nothing is known."""
-    rooms = dict.fromkeys((machine.pool for machine in state.machines.values()), 0)
+    """Return the utilization of each pool's processor; 1 if it is unknown."""
+    capacities = dict.fromkeys((machine.pool for machine in state.machines.values()), 0)
     for machine in state.machines.values():
         if machine.is_up():
-            rooms[machine.pool] += machine.capacity.cpu
+            capacities[machine.pool] += machine.capacity.cpu
     wanted: dict[str, int] = {}
     for share, view in state.views.items():
         wanted[share.pool] = wanted.get(share.pool, 0) + view.load.wanted_cpu
     return {
-        pool: wanted[pool] / room if pool in wanted and room else 1.0
-        for pool, room in rooms.items()
+        pool: wanted[pool] / capacity if pool in wanted and capacity else 1.0
+        for pool, capacity in capacities.items()
     }
 
 
@@ -149,22 +148,21 @@
     return sizes
 
 
-def _count_out(state: FleetState, planned: list[Intent]) -> dict[str, int]:
-    """Count for each pool the machines that are out of service or about to be."""
-    out: dict[str, int] = {}
+def _count_unavailable(state: FleetState, planned: list[Intent]) -> dict[str, int]:
+    """Count the machines of each pool that are out of service or about to be."""
+    unavailable: dict[str, int] = {}
     leaving = state.intents.keys() | {intent.machine for intent in planned}
     for machine in state.machines.values():
         if not machine.is_up() or machine.name in leaving:
-            out[machine.pool] = out.get(machine.pool, 0) + 1
-    return out
+            unavailable[machine.pool] = unavailable.get(machine.pool, 0) + 1
+    return unavailable
 
 
-def _pace(state: FleetState, progress: WaveProgress, left: int) -> int:
+def _required_down(state: FleetState, progress: WaveProgress, left: int) -> int:
     """Return how many machines have to be down at once for the wave to end in time.
 
-    While a pool lacks machines a wave takes no more of them than that. It begins with those that
-    are off, which are the ones that the pool's turn is waiting for: a wave that took 35 of them
-    at once left the pool two seconds behind for the rest of its turn.
+    While a pool lacks machines, a wave takes no more than this: it begins with standby machines,
+    which the pool is waiting for.
     """
     elapsed_s = (state.now_ms - progress.began_ms) / 1000
     left_s = max(MAINTENANCE_CYCLE_S, progress.wave.duration_s - elapsed_s)
@@ -172,7 +170,7 @@
 
 
 def _is_late(state: FleetState, progress: WaveProgress, due: int) -> bool:
-    """Say whether the wave needs every machine that it may have down from now on."""
+    """Return whether the wave needs its full concurrency from now on to end in time."""
     elapsed_s = (state.now_ms - progress.began_ms) / 1000
     left_s = progress.wave.duration_s - elapsed_s
     rounds = -(-due // max(1, progress.wave.max_down))
--- a/tests/pooling/test_departed.py
+++ b/tests/pooling/test_departed.py
@@ -56,7 +56,7 @@
     # life in the same pool. Its worker must get tasks again.
     fleet = Fleet(desk=9, spare=0)
     machine = take_away(fleet)
-    fleet.state.intents[machine].is_carried_out = False
+    fleet.state.intents[machine].is_confirmed = False
     fleet.now_ms += 60_000
     fleet.list_machines()
     assert machine not in fleet.state.intents
--- a/tests/pooling/test_rising_pace.py
+++ b/tests/pooling/test_rising_pace.py
@@ -34,11 +34,11 @@
     # Jobs come faster and faster. What is asked for at each moment is what the pace of about
     # two seconds later needs; asked for the pace of now they came late for the whole rise.
     fleet = Fleet(desk=2, spare=60)
-    paces = rising(5, 4)
-    asked = play(fleet, paces)
+    arrival_rates = rising(5, 4)
+    asked = play(fleet, arrival_rates)
     later = round(LEAD_TIME_MS / STEP_MS)
-    for step in range(round(TREND_WINDOW_MS / STEP_MS) + 1, len(paces) - later):
-        assert asked[step] + 2 >= paces[step + later] / 1.15 - 1
+    for step in range(round(TREND_WINDOW_MS / STEP_MS) + 1, len(arrival_rates) - later):
+        assert asked[step] + 2 >= arrival_rates[step + later] / 1.15 - 1
 
 
 def test_steady_pace_asks_for_no_more_than_it_needs() -> None:
