--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -1,4 +1,4 @@
-"""Runs the fleet's partition for as long as this process owns it."""
+"""Runs the fleet's partition while this process owns it."""
 
 from __future__ import annotations
 
@@ -50,11 +50,11 @@
 _LOGGER = logging.getLogger(__name__)
 
 STATUS_RETRY_S = 0.5
-"""Pause before a wave's status is written again, in seconds."""
+"""Delay before writing a wave's status is retried, in seconds."""
 
 
 class FleetKeeper:
-    """Moves and maintains machines."""
+    """Owner of the fleet: moves and maintains machines."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
             store=store, partition=self.partition, token=token, on_fenced=on_fenced
         )
         self.layout: Layout | None = None
-        """As it is stored, or about to be; None before it is read, and where it can't be."""
+        """The layout as it is, or will be, stored; None if it wasn't or can't be read."""
         self.began_ms = monotonic_ms()
         self.client = MachineClient(address=settings.machines.address, holder=settings.instance)
         self.orders = MachineOrders(
@@ -96,7 +96,7 @@
         self.nursery: trio.Nursery | None = None
 
     async def async_run(self) -> None:
-        """Keep the fleet until `close`."""
+        """Run until `close` is called."""
         with self.scope:
             await self._async_restore()
             async with trio.open_nursery() as nursery:
@@ -109,7 +109,7 @@
             await self.client.close()
 
     def close(self) -> None:
-        """Give the fleet up: no order leaves after this."""
+        """Give up the fleet; no order is sent after this."""
         self.scope.cancel()
 
     async def _async_restore(self) -> None:
@@ -158,7 +158,7 @@
             listed = await self.client.async_list()
             if isinstance(listed, Err):
                 _LOGGER.warning(
-                    "machines can't be listed; the last list is used",
+                    "machines can't be listed, using the last list",
                     extra={"event": "machines_unread", "detail": listed.err_value.detail},
                 )
             else:
@@ -176,7 +176,7 @@
             await trio.sleep(PLAN_INTERVAL_MS / 1000)
 
     def _extend_layout(self) -> None:
-        """Lay out services that are new; others hear of it once it is stored."""
+        """Extend the layout to new services; it is published once it is stored."""
         services = sorted(self.directory.state.serving())
         pools = self._list_pools()
         if self.layout is None or not services or not pools:
@@ -194,10 +194,10 @@
         self.journal.when_stored(lambda: self.directory.take_layout(layout))
 
     def _list_pools(self) -> dict[str, list[str]]:
-        """Return the machines of each pool in the order of racks; none while they aren't known.
+        """Return the machines of each pool in the order of racks; none if they are unknown.
 
-        What workers say of themselves leaves out the standby machines, so it is used only where
-        the list stays away: jobs can't be taken in before services are laid out.
+        Worker entries leave out the standby machines and are only used if the list stays
+        unavailable, since jobs aren't accepted before services are laid out.
         """
         listed = [(m.pool, m.zone, m.rack(), m.name) for m in self.state.machines.values()]
         if not listed and monotonic_ms() - self.began_ms >= LAYOUT_TIMEOUT_MS:
@@ -209,7 +209,7 @@
         return pools
 
     async def _async_measure(self) -> None:
-        """Ask all pools' owners how full they are, and tell them which workers to empty."""
+        """Request the load of all shares from their owners, and report the workers to empty."""
         due = self.state.due_workers()
         leaving = self.state.leaving_workers()
         async with trio.open_nursery() as nursery:
@@ -244,7 +244,7 @@
                 self._save_wave(effect.progress)
 
     def _save_wave(self, progress: WaveProgress) -> None:
-        """Store what was begun; the operator hears that a wave is complete after that."""
+        """Store a wave's progress, and then report its status to the operator."""
         key = f"{STATUS_PREFIX}{progress.wave.number}"
         self.journal.put(
             key, lambda: encode_wave(progress, now_ms=monotonic_ms(), wall_ms=wall_ms())
--- a/heatherkeel/pooling/models.py
+++ b/heatherkeel/pooling/models.py
@@ -1,4 +1,4 @@
-"""What the fleet's owner knows about machines, pools and waves."""
+"""State, events and effects of the fleet's owner."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Share(NamedTuple):
-    """A partition's part of a pool: its own jobs, and the machines that may run them."""
+    """A partition's part of a pool: its jobs and the machines that may run them."""
 
     pool: str
     partition: int
@@ -29,33 +29,33 @@
 
 @dataclass(kw_only=True, slots=True)
 class Intent:
-    """A machine that is to go: first emptied, then ordered away."""
+    """A planned move or maintenance of a machine, which is emptied before it is ordered away."""
 
     machine: str
     worker_id: str | None
     purpose: Purpose
     from_pool: str
     pool: str = ""
-    """Where it moves to."""
+    """The pool that it moves to; empty for maintenance."""
     wave: int = 0
     began_ms: int
     ordered_ms: int | None = None
-    """When the order was last given."""
+    """When the order was last sent; None if it wasn't."""
     is_confirmed: bool = False
-    """The order was answered with success."""
+    """Whether the order was answered with success."""
 
 
 class DepartedWorker(NamedTuple):
-    """A worker whose machine has gone, though its entry may stand for some seconds more."""
+    """A worker whose machine has gone, but whose entry may not have expired yet."""
 
     partition: int
-    """Whose worker it was."""
+    """The partition that the worker belonged to."""
     until_ms: int
 
 
 @dataclass(kw_only=True, slots=True)
 class WaveProgress:
-    """A wave, and the machines whose maintenance has surely begun."""
+    """A wave, and its machines whose maintenance is confirmed to have begun."""
 
     wave: Wave
     began_ms: int
@@ -65,19 +65,19 @@
 
 @dataclass(kw_only=True, slots=True)
 class ShareView:
-    """A share's load as last told, and its recent highest."""
+    """The last reported load of a share, and its recent peaks and surplus."""
 
     load: PoolLoad
     received_ms: int
     peaks: list[tuple[int, float]] = field(default_factory=list)
-    """When which processor was wanted, the highest of later ones only."""
+    """Recent peaks of processor demand with their times, in descending order."""
     surplus: list[tuple[int, int]] = field(default_factory=list)
-    """When how many machines could be spared."""
+    """Recent numbers of surplus machines with their times."""
 
 
 @dataclass(kw_only=True, slots=True)
 class FleetState:
-    """Everything that the fleet's owner knows."""
+    """State of the fleet's owner."""
 
     token: int
     now_ms: int = 0
@@ -87,27 +87,27 @@
     layout: Layout = field(default_factory=Layout)
     views: dict[Share, ShareView] = field(default_factory=dict)
     arrival_rates: dict[str, list[tuple[int, float]]] = field(default_factory=dict)
-    """When which pace of arrivals was seen in a pool, as a share's part of it."""
+    """Recent arrival rates per share with their times, by pool."""
     waves: dict[int, WaveProgress] = field(default_factory=dict)
     intents: dict[str, Intent] = field(default_factory=dict)
     departed: dict[str, DepartedWorker] = field(default_factory=dict)
-    """Workers whose machines were ordered away and have gone, by their ids."""
+    """Workers whose machines were ordered away and have gone, by id."""
     blocked_until_ms: dict[str, int] = field(default_factory=dict)
-    """Machines that an earlier owner has ordered away just now, and until when we may not."""
+    """Until when each machine that an earlier owner has just ordered away may not be ordered."""
     logged_ms: int = 0
-    """When the log was last told how the pools stand."""
+    """When the state of the pools was last logged."""
 
     def standby_pool(self) -> str | None:
-        """Return the pool whose machines are off, if there is one."""
+        """Return the standby pool, if there is one."""
         return next((name for name, service in self.services.items() if service.is_standby), None)
 
     def is_standby(self, pool: str) -> bool:
-        """Say whether a pool's machines are off."""
+        """Return whether a pool is the standby pool, whose machines are off."""
         service = self.services.get(pool)
         return service is not None and service.is_standby
 
     def shares(self) -> list[Share]:
-        """Return the shares of all pools that serve."""
+        """Return the shares of all pools except the standby pool."""
         return [
             Share(pool=name, partition=partition)
             for name in self.services
@@ -116,12 +116,12 @@
         ]
 
     def share_of(self, machine: str, pool: str) -> Share | None:
-        """Return the share that a machine belongs to while it is in a pool; None if it has none."""
+        """Return the share that a machine belongs to in a pool; None if it has none."""
         partition = self.layout.partition_of_machine(pool, machine)
         return None if partition is None else Share(pool=pool, partition=partition)
 
     def initial_size(self, share: Share) -> float:
-        """Return how many machines a share had at first, on average of its pool's shares."""
+        """Return the initial number of machines of a share, averaged over its pool's shares."""
         shares = self.layout.partitions_of(share.pool)
         return self.layout.homes.get(share.pool, 0) / len(shares) if shares else 0.0
 
@@ -131,11 +131,10 @@
         return None if share is None else self.views.get(share)
 
     def leaving_workers(self) -> dict[int, list[str]]:
-        """Return, by partition, the workers on which nothing may start any more.
+        """Return, by partition, the workers on which no task may start any more.
 
-        One whose machine has gone is still named: its entry stands for some seconds, and an empty
-        worker is what its share's owner would choose first. Of one day's starts 212 met nobody when
-        it wasn't, and none since.
+        This includes workers whose machines have gone: until their entries expire, the share's
+        owner would prefer them for new tasks because they are empty.
         """
         leaving: dict[int, list[str]] = {}
         for intent in self.intents.values():
@@ -150,9 +149,9 @@
         return leaving
 
     def _partition_of(self, intent: Intent) -> int | None:
-        """Return whose worker is to go: the partition that has told of it, or that should.
+        """Return the partition of an intent's worker: the one that reported it, or the machine's.
 
-        A worker whose entry names no machine is dealt out by its own id.
+        A worker whose entry names no machine is assigned by its own id.
         """
         for share, view in self.views.items():
             if intent.worker_id in view.load.workers:
@@ -161,7 +160,7 @@
         return None if share_now is None else share_now.partition
 
     def record_departure(self, intent: Intent, *, until_ms: int) -> None:
-        """Keep tasks from a worker whose machine the list shows in another life."""
+        """Record a worker as departed if the list shows its machine in another incarnation."""
         if intent.worker_id is None or intent.ordered_ms is None:
             return
         machine = self.machines.get(intent.machine)
@@ -172,7 +171,7 @@
             self.departed[intent.worker_id] = DepartedWorker(partition=partition, until_ms=until_ms)
 
     def due_workers(self) -> list[str]:
-        """Return the workers whose machines still have to be maintained."""
+        """Return the workers whose machines are still due for maintenance."""
         return [
             machine.worker_id
             for progress in self.waves.values()
@@ -186,14 +185,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FleetEvent:
-    """Something that happened, at a time on the steady clock."""
+    """An event at a time on the monotonic clock."""
 
     now_ms: int
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MachinesListed(FleetEvent):
-    """The list of all machines, asked for at `sent_ms`."""
+    """The list of all machines, requested at `sent_ms`."""
 
     machines: list[Machine]
     sent_ms: int
@@ -201,7 +200,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PoolsMeasured(FleetEvent):
-    """The loads of one partition's pools."""
+    """The loads of one partition's shares."""
 
     partition: int
     loads: list[PoolLoad]
@@ -209,7 +208,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DirectoryRead(FleetEvent):
-    """The services and waves that the operator wants, and how services are laid out."""
+    """The operator's services and waves, and the layout of the services."""
 
     services: dict[str, Service]
     waves: dict[int, Wave]
@@ -218,7 +217,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrderAnswered(FleetEvent):
-    """An order was answered, or its time ran out."""
+    """An order was answered or has timed out."""
 
     machine: str
     error: CallError | None
@@ -226,26 +225,26 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlanDue(FleetEvent):
-    """It is time to look at the pools."""
+    """A planning round is due."""
 
     may_order: bool = True
-    """Orders may be given; if not, another process may be the fleet's owner by now."""
+    """Whether orders may be sent; if not, another process may own the fleet by now."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FleetEffect:
-    """Something that the fleet's owner does."""
+    """An action for the fleet's owner to perform."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrderMachine(FleetEffect):
-    """Give the order of an intent."""
+    """Send the order of an intent."""
 
     intent: Intent
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SaveWave(FleetEffect):
-    """Store which machines of a wave were begun, and tell the operator how it is."""
+    """Store which machines of a wave were begun, and report its status to the operator."""
 
     progress: WaveProgress
--- a/heatherkeel/pooling/ordering.py
+++ b/heatherkeel/pooling/ordering.py
@@ -1,4 +1,4 @@
-"""Gives the orders for machines: each is stored before it leaves."""
+"""Stores orders for machines and sends them to the platform."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 _LOGGER = logging.getLogger(__name__)
 
 ORDERS_TOPIC: Final = "keyed.orders"
-"""Where orders are stored while the fleet's own partition is down."""
+"""Topic of the orders that are stored while the fleet's own partition is down."""
 ORDERS_KEY: Final = "orders"
-"""Key of our own record of the last orders: when each machine was ordered away."""
+"""Key of the record with the time of each machine's last order."""
 
 
 class MachineOrders:
-    """Stores orders, and then gives them under the fleet owner's token."""
+    """Stores each order before sending it under the fleet owner's token."""
 
     def __init__(
         self,
@@ -51,22 +51,22 @@
         self.may_order = may_order
         self.on_answered = on_answered
         self.fallback_partition = 0
-        """Where the last order that was stored aside stands."""
+        """Partition of the orders topic in which the last order was stored."""
         self.ordered_ms: dict[str, int] = {}
-        """When each machine was ordered away last, in milliseconds since 1970."""
+        """When each machine was last ordered away, in milliseconds since the epoch."""
         self.nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin to give orders."""
+        """Set the nursery in which orders are sent."""
         self.nursery = nursery
 
     async def async_restore(self, own: Iterable[KeyedRecord], *, lease_ms: int) -> dict[str, int]:
-        """Return until when each machine may not be ordered, by what earlier owners have stored.
+        """Restore the orders of earlier owners; return until when each machine is blocked.
 
-        `own` are the records of the fleet's partition; times are on the steady clock.
+        `own` holds the records of the fleet's partition; times are on the monotonic clock.
 
-        Two holders may not take turns at one machine within its lease. Each order is stored
-        before it leaves, and our epoch stops those that aren't stored by now.
+        Two holders may not order the same machine within its lease. Each order is stored before
+        it is sent, and this owner's epoch fences those that aren't stored yet.
         """
         blocked_until_ms: dict[str, int] = {}
         now_ms = monotonic_ms()
@@ -81,7 +81,7 @@
         return blocked_until_ms
 
     async def _async_read_fallback(self) -> list[KeyedRecord]:
-        """Read the orders that were stored aside; a partition that is down is waited for."""
+        """Read all partitions of the orders topic, waiting for those that are down."""
         records: list[KeyedRecord] = []
 
         async def async_read(partition: int) -> None:
@@ -94,7 +94,7 @@
         return records
 
     def send(self, intent: Intent) -> None:
-        """Store that a machine is ordered away, and then give the order."""
+        """Store the order of an intent, and then send it."""
         now_wall_ms = wall_ms()
         self.ordered_ms = {
             machine: at_ms
@@ -111,11 +111,10 @@
         self.journal.when_stored(lambda: nursery.start_soon(self._async_send, intent, decided_ms))
 
     async def _async_send_via_fallback(self, intent: Intent, decided_ms: int) -> None:
-        """Store an order wherever it can be, and give it, while our own partition is down.
+        """Store an order in any available partition, and send it, while the fleet's is down.
 
-        Parts of the store may be down for seconds while the rest works, and with them no pool
-        would get a machine. No next owner can begin before our partition is back, and it reads
-        these records too.
+        Otherwise no pool would get machines during a partial outage of the store. The next owner
+        can't start before the fleet's partition is back, and it reads these records too.
         """
         record = KeyedRecord(key=ORDERS_KEY, value=self._encode())
         first = self.fallback_partition
@@ -128,7 +127,7 @@
             if monotonic_ms() - decided_ms > MAX_ORDER_DELAY_MS:
                 break
         _LOGGER.warning(
-            "an order can't be stored, so it isn't given",
+            "order can't be stored, so it isn't sent",
             extra={"event": "order_unstored", "machine": intent.machine},
         )
         intent.ordered_ms = None
--- a/heatherkeel/pooling/reducer.py
+++ b/heatherkeel/pooling/reducer.py
@@ -1,4 +1,4 @@
-"""The reducer of the fleet: an event changes the state and gives effects."""
+"""Reducer of the fleet's state: applies events and returns effects."""
 
 from __future__ import annotations
 
@@ -57,14 +57,14 @@
 
 
 def reduce_fleet(state: FleetState, event: FleetEvent) -> list[FleetEffect]:
-    """Take in one event; returns what is to be done, in order."""
+    """Apply an event to the state; return the effects in order."""
     state.now_ms = max(state.now_ms, event.now_ms)
     return HANDLERS[type(event)](state, event)
 
 
 @handles(DirectoryRead)
 def apply_directory(state: FleetState, event: DirectoryRead) -> list[FleetEffect]:
-    """Take in services and waves; a wave that is new is told to be in progress."""
+    """Apply services, layout and waves; new waves are reported as in progress."""
     state.services = event.services
     state.layout = event.layout
     effects: list[FleetEffect] = []
@@ -73,7 +73,7 @@
             state.waves[number] = WaveProgress(wave=wave, began_ms=state.now_ms)
             effects.append(SaveWave(progress=state.waves[number]))
             _LOGGER.info(
-                "wave taken in",
+                "wave accepted",
                 extra={
                     "event": "wave_taken",
                     "wave": number,
@@ -86,7 +86,7 @@
 
 @handles(PoolsMeasured)
 def record_loads(state: FleetState, event: PoolsMeasured) -> list[FleetEffect]:
-    """Take in the loads of one partition's shares."""
+    """Record the loads of one partition's shares."""
     for load in event.loads:
         share = Share(pool=load.service, partition=event.partition)
         view = state.views.get(share)
@@ -100,7 +100,7 @@
 
 @handles(MachinesListed)
 def apply_machine_list(state: FleetState, event: MachinesListed) -> list[FleetEffect]:
-    """Take in the list of machines, and end what it shows to be done."""
+    """Apply the list of machines, and remove the intents that it shows to be finished."""
     state.machines = {machine.name: machine for machine in event.machines}
     state.listed_ms = event.sent_ms
     for name, intent in list(state.intents.items()):
@@ -116,10 +116,10 @@
 
 
 def _is_finished(state: FleetState, intent: Intent, sent_ms: int) -> bool:
-    """Say whether a list that was asked for at a time shows that an intent has come true.
+    """Return whether the list requested at `sent_ms` shows that an intent is finished.
 
-    An order without an answer may be carried out seconds later, so its machine isn't used for
-    anything else until it is shown to have gone, or until that time is over.
+    An unanswered order may be carried out seconds later, so its machine stays reserved until the
+    list shows the move or the order's settle time is over.
     """
     machine = state.machines.get(intent.machine)
     if machine is None:
@@ -138,7 +138,7 @@
 
 @handles(OrderAnswered)
 def handle_order_answer(state: FleetState, event: OrderAnswered) -> list[FleetEffect]:
-    """Take in how an order went."""
+    """Handle the answer to an order."""
     intent = state.intents.get(event.machine)
     if intent is None:
         return []
@@ -183,7 +183,7 @@
 
 @handles(PlanDue)
 def plan(state: FleetState, event: PlanDue) -> list[FleetEffect]:
-    """Decide which machines are to go, and order away those that are empty."""
+    """Plan moves and maintenance, and order the machines that are empty."""
     if not event.may_order:
         _cancel_unsent(state)
         return []
@@ -207,7 +207,7 @@
 
 
 def _cancel_unsent(state: FleetState) -> None:
-    """Let machines serve on that no order was given for: none can be given now."""
+    """Cancel the intents whose orders weren't sent, so that their machines keep serving."""
     for name, intent in list(state.intents.items()):
         if intent.ordered_ms is None:
             del state.intents[name]
@@ -215,7 +215,7 @@
 
 def _log_intent(intent: Intent) -> None:
     _LOGGER.info(
-        "machine is to go",
+        "machine is to leave its pool",
         extra={
             "event": "machine_intent",
             "machine": intent.machine,
@@ -234,9 +234,9 @@
 
 
 def _is_empty(state: FleetState, intent: Intent) -> bool:
-    """Say whether the owner of the machine's pool has just told that nothing runs on it.
+    """Return whether a recent load reports that nothing runs on the machine.
 
-    It starts nothing there from the moment when it first hears of the intent.
+    Its share's owner starts nothing there once it has received the intent.
     """
     if intent.worker_id is None:
         return True
@@ -248,7 +248,7 @@
 
 
 def _complete_waves(state: FleetState) -> list[FleetEffect]:
-    """Say that a wave is complete once each of its machines that is still there was begun."""
+    """Complete the waves of which each remaining machine was begun."""
     effects: list[FleetEffect] = []
     for progress in state.waves.values():
         left = [
--- a/heatherkeel/pooling/wave_records.py
+++ b/heatherkeel/pooling/wave_records.py
@@ -1,4 +1,4 @@
-"""What stands in the store of a wave: the machines that were begun, and since when it lasts."""
+"""Stored records of waves: the machines begun, and when the wave began."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class StoredWave(msgspec.Struct, frozen=True, kw_only=True):
-    """A wave as its owner has stored it."""
+    """The stored progress of a wave."""
 
     begun: list[str]
     began_wall_ms: int
-    """When the first owner of the fleet took the wave in, in milliseconds since 1970."""
+    """When the fleet's first owner accepted the wave, in milliseconds since the epoch."""
 
 
 def encode_wave(progress: WaveProgress, *, now_ms: int, wall_ms: int) -> bytes:
@@ -28,17 +28,16 @@
 
 
 def restore_wave(progress: WaveProgress, value: bytes, *, now_ms: int, wall_ms: int) -> None:
-    """Take in what an earlier owner has stored of a wave.
+    """Restore a wave's progress from the record of an earlier owner.
 
-    A next owner that counted the wave's time from its own start took it to have all of it left, and
-    spared a pool in its turn until the time was over: two of 114 machines were late. Records of
-    earlier versions are the bare list of machines; their wave counts from now.
+    The start time is restored so that a new owner doesn't defer maintenance past the wave's end.
+    Records of earlier versions are a bare list of machines, and their wave begins now.
     """
     try:
         stored = msgspec.json.decode(value, type=StoredWave | list[str])
     except (ValueError, RecursionError) as err:
         _LOGGER.error(
-            "a wave's record can't be read; all of its machines count as not begun",
+            "invalid record of a wave; all of its machines count as not begun",
             extra={"event": "wave_record_bad", "wave": progress.wave.number, "detail": str(err)},
         )
         return
