--- a/heatherkeel/pooling/moves.py
+++ b/heatherkeel/pooling/moves.py
@@ -12,7 +12,7 @@
     MIN_SIZE_FRACTION,
 )
 from .models import FleetState, Intent, Purpose, Share
-from .parking import choose_for_standby
+from .standby import choose_for_standby
 from .supply import Supply, count_needed, find_fresh_view, find_lost_zones, list_staying
 
 
--- a/heatherkeel/pooling/reducer.py
+++ b/heatherkeel/pooling/reducer.py
@@ -27,7 +27,7 @@
     WaveProgress,
 )
 from .moves import plan_moves
-from .parking import cancel_unsent_standby_moves
+from .standby import cancel_unsent_standby_moves
 from .supply import measure_supply, record_peak
 from .telling import log_pools
 from .waves import plan_maintenance
