--- a/tests/pooling/fleet.py
+++ b/tests/pooling/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet without a process: lists, loads and orders go in, and effects are kept."""
+"""A simulated fleet that drives the reducer without a process."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Fleet:
-    """Pools of machines, and what each asks for."""
+    """Pools of machines with their demand, and the effects of all events."""
 
     def __init__(self, *, waves: list[Wave] | None = None, shares: int = 1, **pools: int) -> None:
         self.state = FleetState(token=3)
@@ -44,13 +44,13 @@
         self.needs: dict[str, list[Need]] = {}
         self.labels_of: dict[str, list[str]] = {}
         self.arriving: dict[str, tuple[int, int]] = {}
-        """How many jobs came lately, and the processor that they ask for, by pool."""
+        """Number of recent jobs and the processor that they request, by pool."""
         self.empty: set[str] = set()
-        self.unheard: set[str] = set()
-        """Machines whose workers don't answer their pool's owner."""
+        self.unresponsive: set[str] = set()
+        """Machines whose workers are unresponsive."""
         self.zone_of: dict[str, str] = {}
         services = {name: Service(name=name, is_standby=name == "spare") for name in pools}
-        self.give(
+        self.reduce(
             DirectoryRead(
                 now_ms=self.now_ms,
                 services=services,
@@ -61,21 +61,21 @@
         self.list_machines()
 
     def make_layout(self, shares: int, pools: list[str]) -> Layout:
-        """Give each pool so many shares, and deal the machines out to them in turn."""
+        """Return a layout with so many shares per pool and the machines spread over them."""
         return Layout(
             shares={name: tuple(range(shares)) for name in pools if name != "spare"},
             places={name: place for place, name in enumerate(self.pool_of)},
             homes=Counter(self.pool_of.values()),
         )
 
-    def give(self, event: FleetEvent) -> list[FleetEffect]:
-        """Reduce one event; returns its effects, which are kept too."""
+    def reduce(self, event: FleetEvent) -> list[FleetEffect]:
+        """Reduce one event; record and return its effects."""
         effects = reduce_fleet(self.state, event)
         self.effects += effects
         return effects
 
     def list_machines(self) -> None:
-        """Read the list of machines."""
+        """Deliver the list of machines."""
         machines = [
             Machine(
                 name=name,
@@ -88,10 +88,10 @@
             )
             for name, pool in self.pool_of.items()
         ]
-        self.give(MachinesListed(now_ms=self.now_ms, machines=machines, sent_ms=self.now_ms))
+        self.reduce(MachinesListed(now_ms=self.now_ms, machines=machines, sent_ms=self.now_ms))
 
     def measure(self, *, partition: int = 0, **wanted: int) -> None:
-        """Tell what a partition's shares of pools ask for."""
+        """Deliver the loads of a partition's shares."""
         loads = []
         for pool, cpu in wanted.items():
             members = [
@@ -110,21 +110,21 @@
                     wanted_memory_mb=self.wanted_memory_mb.get(pool, 0),
                     used_cpu=min(cpu, CPU * len(members)),
                     workers={f"i-{name}": self.used.get(name, 0) for name in members},
-                    unheard=[f"i-{name}" for name in members if name in self.unheard],
+                    unheard=[f"i-{name}" for name in members if name in self.unresponsive],
                     empty=[f"i-{name}" for name in members if name in self.empty],
                     lasting={
                         f"i-{name}": self.lasting[name] for name in members if name in self.lasting
                     },
                 )
             )
-        self.give(PoolsMeasured(now_ms=self.now_ms, partition=partition, loads=loads))
+        self.reduce(PoolsMeasured(now_ms=self.now_ms, partition=partition, loads=loads))
 
     def plan(self, *, after_ms: int = 100, may_order: bool = True) -> list[Intent]:
-        """Plan; returns the machines that are ordered away."""
+        """Run a planning round; return the intents that are ordered."""
         self.now_ms += after_ms
-        effects = self.give(PlanDue(now_ms=self.now_ms, may_order=may_order))
+        effects = self.reduce(PlanDue(now_ms=self.now_ms, may_order=may_order))
         return [effect.intent for effect in effects if isinstance(effect, OrderMachine)]
 
     def answer(self, machine: str, error: CallError | None = None) -> None:
         """Answer an order."""
-        self.give(OrderAnswered(now_ms=self.now_ms, machine=machine, error=error))
+        self.reduce(OrderAnswered(now_ms=self.now_ms, machine=machine, error=error))
--- a/tests/pooling/test_departed.py
+++ b/tests/pooling/test_departed.py
@@ -1,4 +1,4 @@
-"""Workers whose machines have gone: their entries stand for some seconds, and they get no tasks."""
+"""Tests of workers whose machines have gone but whose entries haven't expired yet."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def take_away(fleet: Fleet) -> str:
-    """Let an idle pool's first surplus machine be parked; returns its name."""
+    """Let an idle pool's first surplus machine move to standby; return its name."""
     fleet.measure(desk=0)
     fleet.empty = set(fleet.pool_of)
     for _ in range(20):
@@ -26,9 +26,8 @@
 
 
 def test_worker_whose_machine_has_gone_is_named_as_leaving() -> None:
-    # An idle machine is sent to the standby pool. Its worker's entry stands for seconds more, and
-    # an empty worker is the first that its share's owner would choose: the tasks of the next job
-    # would be sent to an address where nobody answers, and wait for that.
+    # Until the worker's entry expires, its share's owner would prefer the empty worker for the next
+    # job's tasks and send them to an address where nothing listens.
     fleet = Fleet(desk=9, spare=0)
     machine = take_away(fleet)
     assert f"i-{machine}" in fleet.state.leaving_workers().get(0, [])
@@ -52,8 +51,8 @@
 
 
 def test_machine_that_never_went_serves_on() -> None:
-    # The order had no answer and was never carried out: after its time the list shows the same
-    # life in the same pool. Its worker must get tasks again.
+    # The order was never carried out, and the list shows the same incarnation in the same pool
+    # after the settle time. The worker must get tasks again.
     fleet = Fleet(desk=9, spare=0)
     machine = take_away(fleet)
     fleet.state.intents[machine].is_confirmed = False
@@ -64,8 +63,7 @@
 
 
 def test_only_the_owner_of_the_workers_share_is_told() -> None:
-    # Each owner is asked ten times a second, and a turn's end takes eighty machines away: told of
-    # all of them, eleven owners would be sent a megabit a second, over a link of five at worst.
+    # Sending all leaving workers to every owner would load the links at the end of a demand peak.
     fleet = Fleet(desk=16, spare=0, shares=2)
     fleet.empty = set(fleet.pool_of)
     for _ in range(20):
@@ -79,9 +77,8 @@
 
 
 def test_worker_that_names_no_machine_is_told_to_whoever_has_it() -> None:
-    # Its entry lacks the machine, so its owner is found by the worker's own id and not by the
-    # machine's number. Were the other owner told, it would never be emptied, and its machine's
-    # maintenance would never begin.
+    # The worker's owner follows from its own id. If another owner were notified, the worker would
+    # never be emptied, and its machine's maintenance would never begin.
     wave = Wave(number=1, machines=["desk0"], duration_s=30, max_down=1)
     fleet = Fleet(desk=4, spare=0, shares=2, waves=[wave])
     owner = fleet.state.share_of("desk0", "desk")
--- a/tests/pooling/test_lost_zone.py
+++ b/tests/pooling/test_lost_zone.py
@@ -1,7 +1,6 @@
-"""A zone is cut off in a pool's turn: its machines are listed as up, and no use to anybody.
+"""Tests of a zone that is cut off while a pool's demand is high.
 
-The load is that of a queue in its turn, which wants what its pool just holds, on machines dealt out
-over four zones, as many as a site of nine entry instances has.
+The pool's demand just fits its machines, which are spread over four zones.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 
 
 def make_fleet(*, desk: int, spare: int, portal: int = 0) -> Fleet:
-    """Return a fleet whose machines are dealt out over the zones."""
+    """Return a fleet whose machines are spread over the zones."""
     fleet = Fleet(desk=desk, portal=portal, spare=spare)
     fleet.zone_of = {name: ZONES[n % len(ZONES)] for n, name in enumerate(fleet.pool_of)}
     fleet.list_machines()
@@ -21,14 +20,14 @@
 
 
 def cut_off(fleet: Fleet, zone: str) -> None:
-    """Let no worker of a zone answer."""
-    fleet.unheard = {name for name, at in fleet.zone_of.items() if at == zone}
+    """Make all workers of a zone unresponsive."""
+    fleet.unresponsive = {name for name, at in fleet.zone_of.items() if at == zone}
 
 
 def test_pool_gets_others_for_the_machines_that_do_not_answer() -> None:
-    """A cut zone takes two of a pool's eight machines along; their jobs wait for room.
+    """Machines in a zone that is cut off are still listed as up.
 
-    Both are still listed as up. Counted as room, the pool would get no others until the cut heals.
+    Counted as capacity, they would keep the pool from getting others until the zone is back.
     """
     fleet = make_fleet(desk=8, spare=8)
     fleet.measure(desk=WANTED)
@@ -39,10 +38,7 @@
 
 
 def test_machines_that_come_are_not_of_the_cut_zone() -> None:
-    """The standby machines of the cut zone are off, so nothing says that they can't be reached.
-
-    Sent for, they would come up behind the cut, and the pool would count them as room.
-    """
+    """Standby machines of a zone that is cut off would be unreachable after the move."""
     fleet = make_fleet(desk=8, portal=4, spare=8)
     cut_off(fleet, "a")
     fleet.measure(desk=8 * CPU, portal=0)
@@ -52,9 +48,9 @@
 
 
 def test_owner_that_hears_nobody_gets_no_machines() -> None:
-    """The pool's owner is the one that is cut off: more machines wouldn't answer it either."""
+    """The pool's owner itself is cut off: more machines would be unresponsive too."""
     fleet = make_fleet(desk=8, spare=8)
-    fleet.unheard = {f"desk{n}" for n in range(6)}
+    fleet.unresponsive = {f"desk{n}" for n in range(6)}
     fleet.measure(desk=WANTED)
     assert not fleet.plan()
 
@@ -63,6 +59,6 @@
     fleet = make_fleet(desk=8, spare=8)
     cut_off(fleet, "b")
     fleet.measure(desk=WANTED)
-    fleet.unheard = set()
+    fleet.unresponsive = set()
     fleet.measure(desk=WANTED)
     assert not fleet.plan()
--- a/tests/pooling/test_orders_record.py
+++ b/tests/pooling/test_orders_record.py
@@ -1,4 +1,4 @@
-"""Orders for machines are stored before they leave, wherever that can be done."""
+"""Tests that orders for machines are stored before they are sent."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def find_keeper(site: Site) -> FleetKeeper | None:
-    """Return the fleet's owner once it has begun; one that was killed owns nothing."""
+    """Return the fleet's owner once it has started, ignoring killed processes."""
     for process, scope in zip(site.processes, site.scopes, strict=True):
         if scope.cancel_called:
             continue
@@ -26,10 +26,9 @@
 
 
 def test_machines_move_while_the_fleets_own_partition_is_down() -> None:
-    """A part of the store is down, and the fleet's partition with it; a queue's turn comes.
+    """Demand rises during a partial outage of the store that includes the fleet's partition.
 
-    Orders wait to be stored there, so the pool stays at the few machines that it keeps between
-    its turns, for as long as the outage lasts.
+    Without another place to store orders, the pool would get no machines during the outage.
     """
 
     async def async_test() -> None:
@@ -56,10 +55,9 @@
 
 
 def test_next_owner_leaves_machines_alone_that_were_just_ordered_away() -> None:
-    """The fleet's owner orders a machine away and is killed; its successor begins at once.
+    """The fleet's owner is killed right after an order, and its successor starts at once.
 
-    Two holders that take turns at one machine within its lease break its agreement with the
-    platform. The record of the last order tells for which machines the successor has to wait.
+    Orders of two holders for one machine within its lease violate the platform's rules.
     """
 
     async def async_test() -> None:
--- a/tests/pooling/test_parking.py
+++ b/tests/pooling/test_parking.py
@@ -1,4 +1,4 @@
-"""Machines that are about to be parked when another pool's turn begins."""
+"""Tests of planned moves to the standby pool when another pool's demand rises."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def test_machine_about_to_be_parked_stays_when_a_share_is_short() -> None:
-    """It is still being emptied when another pool's turn begins, and goes there in one move.
+    """A machine that is being emptied for standby goes to the pool with a shortfall instead.
 
-    Parked first and fetched back it would be away twice, and the turn would wait for both moves.
+    Otherwise it would be unavailable for two moves.
     """
     fleet = Fleet(desk=20, portal=10, spare=0)
     for _ in range((PEAK_RETENTION_MS + STANDBY_DELAY_MS) // LOOK_MS + 2):
@@ -27,7 +27,7 @@
 
 
 def test_order_to_park_that_has_left_stands() -> None:
-    """The machine may have gone: it counts as away until the list tells where it is."""
+    """The machine may have moved already, so it is reserved until the list shows where it is."""
     fleet = Fleet(desk=20, portal=10, spare=0)
     for _ in range((PEAK_RETENTION_MS + STANDBY_DELAY_MS) // LOOK_MS + 2):
         fleet.empty = set(fleet.pool_of)
--- a/tests/pooling/test_plans.py
+++ b/tests/pooling/test_plans.py
@@ -1,4 +1,4 @@
-"""Which machines go where, and when they may be ordered away."""
+"""Tests of planned moves and maintenance, and of when machines may be ordered."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_pool_in_its_turn_gets_standby_machines_at_once() -> None:
-    """A queue's turn begins: it asks for five times what its pool holds."""
+    """A queue's demand rises to several times its pool's capacity."""
     fleet = Fleet(desk=2, spare=4)
     fleet.measure(desk=5 * CPU)
     moved = fleet.plan()
@@ -33,7 +33,7 @@
 
 
 def test_surplus_of_one_pool_serves_another_once_it_is_empty() -> None:
-    """Another pool's machine is emptied first, and ordered away only when its owner says so."""
+    """Another pool's machine is ordered away only once its owner reports it as empty."""
     fleet = Fleet(desk=2, portal=6)
     fleet.measure(desk=3 * CPU, portal=0)
     assert not fleet.plan()
@@ -63,7 +63,7 @@
 
 
 def test_pool_whose_load_is_not_known_gives_and_gets_nothing() -> None:
-    """A pool's owner can't be reached. Its last load may be long past."""
+    """A pool's owner is unreachable, so its last load may be outdated."""
     fleet = Fleet(desk=2, portal=6, spare=2)
     fleet.measure(desk=5 * CPU, portal=0)
     assert not fleet.plan(after_ms=5000)
@@ -82,10 +82,9 @@
 
 
 def test_wave_begins_early_with_what_takes_longest_to_empty() -> None:
-    """Lasting tasks leave one after the other, so such a machine is empty after some ten seconds.
+    """Machines with long-running tasks take longest to empty and would end late if begun last.
 
-    Begun last, it is still at work when the wave's time is over. Half of the places go on with
-    machines that are empty at once.
+    Half of the wave's concurrency remains for machines that empty quickly.
     """
     names = [f"desk{number}" for number in range(12)]
     fleet = Fleet(waves=[Wave(number=1, machines=names, max_down=4)], desk=24)
@@ -98,9 +97,9 @@
 
 
 def test_wave_is_complete_only_when_each_machine_was_begun() -> None:
-    """A wave is told to be complete, and a machine of it was never maintained: a broken promise.
+    """A wave mustn't be reported complete while one of its machines wasn't maintained.
 
-    Only an answered order counts; a machine that has left the fleet needs none.
+    Only successful orders count; a machine that has left the fleet needs none.
     """
     wave = Wave(number=1, machines=["spare0", "spare1", "gone"], max_down=2, duration_s=60)
     fleet = Fleet(waves=[wave], spare=2)
@@ -133,9 +132,9 @@
 
 
 def test_order_without_an_answer_keeps_its_machine_out_of_other_plans() -> None:
-    """A move isn't answered, and may be carried out seconds later.
+    """An unanswered move may be carried out seconds later.
 
-    Used by its pool meanwhile, the machine would take its tasks with it.
+    Tasks placed on the machine in the meantime would be lost.
     """
     fleet = Fleet(desk=2, spare=1)
     fleet.measure(desk=5 * CPU)
@@ -167,9 +166,9 @@
 
 
 def test_machines_that_may_be_ordered_now_go_first() -> None:
-    """The fleet's owner is lost just after it has parked a turn's machines, and a turn begins.
+    """A new owner may not order machines for some seconds that its predecessor moved to standby.
 
-    The next owner may not order these for some seconds; machines that idle in a pool can go now.
+    Idle machines of another pool can be ordered at once.
     """
     fleet = Fleet(desk=4, portal=12, spare=6)
     for number in range(6):
@@ -183,10 +182,9 @@
 
 
 def test_pool_whose_turn_has_just_ended_gives_to_one_whose_turn_begins() -> None:
-    """One queue's turn ends as the next one's begins, and no machine is on standby.
+    """Demand moves from one pool to another while no machine is on standby.
 
-    Kept for what the first pool wanted a second ago, its machines would idle for the first half
-    of the next turn.
+    The first pool mustn't keep its machines for its own recent peak.
     """
     fleet = Fleet(desk=2, portal=6)
     fleet.measure(desk=0, portal=5 * CPU)
@@ -200,10 +198,7 @@
 
 
 def test_pool_whose_tasks_lack_memory_gets_machines() -> None:
-    """Lasting tasks of 47 GB each ask for a third of the processor and for all of the memory.
-
-    Their pool looked idle, so it was sent machines away, and half of its tasks never started.
-    """
+    """Tasks that need all of the memory and little processor mustn't make a pool look idle."""
     fleet = Fleet(desk=4, spare=6)
     fleet.wanted_memory_mb["desk"] = 6 * MEMORY_MB
     fleet.measure(desk=CPU)
@@ -211,7 +206,7 @@
 
 
 def test_machines_that_hold_memory_are_not_surplus() -> None:
-    """After a turn the processor is idle, and what lasts still needs the machines."""
+    """The processor is idle, but long-running tasks still need the machines' memory."""
     fleet = Fleet(desk=8, spare=1)
     fleet.wanted_memory_mb["desk"] = 6 * MEMORY_MB
     for _ in range((STANDBY_DELAY_MS + PEAK_RETENTION_MS) // 100 + 10):
@@ -221,9 +216,9 @@
 
 
 def test_lasting_task_that_fits_on_no_machine_gets_one() -> None:
-    """Each machine has a little memory left, and none enough for one more task of 32 GB.
+    """The pool's free memory suffices in total, but on no single machine.
 
-    By their sums the pool has room, so no machine came; the task never ran again.
+    Without another machine the task would never start.
     """
     fleet = Fleet(desk=4, spare=6)
     fleet.lacking["desk"] = 3
@@ -241,9 +236,9 @@
 
 
 def test_wave_keeps_its_pace_while_a_pool_lacks_machines() -> None:
-    """A wave of twelve machines, all off, begins together with a pool's turn.
+    """A wave of standby machines begins as a pool's demand rises.
 
-    All twelve went down at once, and the turn had to wait for them.
+    If all of them went down at once, the pool would have to wait for them.
     """
     names = [f"spare{number}" for number in range(12)]
     fleet = Fleet(
@@ -266,10 +261,9 @@
 
 
 def test_task_that_wants_a_label_gets_a_machine_that_has_it() -> None:
-    """Between turns the last machine with a label was parked; then a job comes that wants it.
+    """A job needs a label, and the last machine with it has moved to the standby pool.
 
-    By processor and memory its pool has room for the job, so nothing was moved, and it waited for
-    good.
+    The pool has enough processor and memory, so without a check for labels nothing would move.
     """
     fleet = Fleet(desk=4, spare=6)
     fleet.labels_of["spare4"] = ["b", "r2"]
@@ -282,7 +276,7 @@
 
 
 def test_need_that_no_machine_can_meet_moves_none() -> None:
-    """Jobs that can never be done come in numbers; they mustn't draw machines from others."""
+    """Jobs that fit on no machine mustn't take machines from other pools."""
     fleet = Fleet(desk=4, spare=6)
     fleet.needs["desk"] = [Need(label="none"), Need(cpu=2 * CPU)]
     fleet.measure(desk=CPU)
@@ -299,9 +293,9 @@
 
 
 def test_machine_with_a_lasting_task_meets_no_need() -> None:
-    """A task of most of a machine waits, and each machine of its share has a lasting task.
+    """A large task waits while each machine of its share has a long-running task.
 
-    An empty one is moved there, once, and stays until the task has started on it.
+    One empty machine is moved to the share for it, and only one.
     """
     fleet = Fleet(desk=2, spare=2)
     fleet.lasting = {"desk0": 1, "desk1": 2}
@@ -319,8 +313,8 @@
     fleet.measure(desk=5 * CPU)
     for _ in range(12):
         fleet.plan()
-    told = [row for row in caplog.records if getattr(row, "event", "") == "pools"]
-    assert len(told) == 2
-    (line,) = told[0].shares  # type: ignore[attr-defined]
+    logged = [row for row in caplog.records if getattr(row, "event", "") == "pools"]
+    assert len(logged) == 2
+    (line,) = logged[0].shares  # type: ignore[attr-defined]
     assert (line["machines"], line["lacking"], line["pinned"]) == (3, 3, 1)
     assert line["wanted_cpu"] == 5 * CPU
--- a/tests/pooling/test_rising_pace.py
+++ b/tests/pooling/test_rising_pace.py
@@ -1,8 +1,4 @@
-"""A pool's turn that grows for some seconds: machines come two seconds after they are wanted.
-
-The pattern is a queue whose jobs come faster and faster for four seconds, and slower again for as
-many. Machines are ordered for the pace that is expected when they are there.
-"""
+"""Tests that machines are ordered for the arrival rate expected when they take tasks."""
 
 from __future__ import annotations
 
@@ -15,7 +11,7 @@
 
 
 def play(fleet: Fleet, cores_at: list[float]) -> list[int]:
-    """Let a pool's pace go through these values; returns the machines asked for at each step."""
+    """Feed arrival rates to a pool; return the number of machines ordered at each step."""
     asked = []
     for cores in cores_at:
         fleet.arriving["desk"] = (20, round(cores * CPU))
@@ -31,8 +27,7 @@
 
 
 def test_machines_are_asked_for_before_the_pace_needs_them() -> None:
-    # Jobs come faster and faster. What is asked for at each moment is what the pace of about
-    # two seconds later needs; asked for the pace of now they came late for the whole rise.
+    # Machines ordered for the current rate would be late throughout the rise.
     fleet = Fleet(desk=2, spare=60)
     arrival_rates = rising(5, 4)
     asked = play(fleet, arrival_rates)
@@ -42,8 +37,8 @@
 
 
 def test_steady_pace_asks_for_no_more_than_it_needs() -> None:
-    # Nine machines hold a pace of ten cores at 1.15 of their processor, and two are there. Once a
-    # rise has ended nothing is added for it any more.
+    # Nine machines serve a rate of ten cores at the target utilization, and two are there already.
+    # Once a rise has ended, nothing is added for it.
     steady, risen = Fleet(desk=2, spare=60), Fleet(desk=2, spare=60)
     play(steady, [10.0] * 40)
     assert len(steady.state.intents) == 7
@@ -52,8 +47,7 @@
 
 
 def test_pace_that_jumps_is_taken_to_double_at_the_most() -> None:
-    # A queue that was idle gets a crowd at once, as after an outage. How fast it grows can't be
-    # told from a jump; twice what came is asked for, and not ten times.
+    # A trend can't be extrapolated from a sudden jump, such as after an outage.
     fleet = Fleet(desk=2, spare=60)
     play(fleet, [0.0] * 20 + [10.0])
     view = next(iter(fleet.state.views))
@@ -61,7 +55,7 @@
 
 
 def test_pace_that_falls_is_not_taken_to_fall_further() -> None:
-    # What waits from the height of a turn still has to be done.
+    # Jobs that wait from the peak still have to run.
     fleet = Fleet(desk=2, spare=60)
     play(fleet, [20.0] * 20 + [10.0] * 3)
     view = next(iter(fleet.state.views))
--- a/tests/pooling/test_shares.py
+++ b/tests/pooling/test_shares.py
@@ -1,4 +1,4 @@
-"""A pool's shares get and give machines each for itself."""
+"""Tests that the shares of a pool gain and release machines independently."""
 
 from __future__ import annotations
 
@@ -11,10 +11,9 @@
 
 
 def test_share_gets_machines_that_will_be_its_own() -> None:
-    """In a pool's turn one of its two shares is short, and the other isn't.
+    """Only one of a pool's two shares has a shortfall.
 
-    A machine belongs to the same share wherever it goes, so half of the standby machines would
-    join the share that has room enough.
+    Half of the standby machines would join the other share, since a machine's share is fixed.
     """
     fleet = Fleet(shares=2, desk=4, spare=6)
     fleet.measure(partition=0, desk=CPU)
@@ -26,7 +25,7 @@
 
 
 def test_share_that_is_not_heard_gets_and_gives_nothing() -> None:
-    """One partition's owner is gone, the other's goes on: its load says nothing of the first."""
+    """One partition's owner is gone; the load of the other says nothing about its share."""
     fleet = Fleet(shares=2, desk=12, spare=4)
     for _ in range((STANDBY_DELAY_MS + PEAK_RETENTION_MS) // 100 + 5):
         fleet.measure(partition=0, desk=0)
@@ -36,7 +35,7 @@
 
 
 def test_each_share_keeps_its_floor() -> None:
-    """Between turns a third of each share stays: what one has beyond it doesn't help the other."""
+    """Each share keeps its own minimum; the surplus of one doesn't help the other."""
     fleet = Fleet(shares=2, desk=24, spare=0)
     gone: set[str] = set()
     for _ in range((STANDBY_DELAY_MS + PEAK_RETENTION_MS) // 100 * 3):
@@ -50,13 +49,13 @@
 
 
 def test_next_owner_keeps_no_more_than_the_first() -> None:
-    """The fleet's owner is lost in a pool's turn, when that pool has twice its machines.
+    """The fleet's owner is lost while a pool has twice its initial machines.
 
-    The next one took what it saw first for the pool's own size, and its floor doubled for good.
+    The next owner mustn't take the current size for the initial one, which sets the minimum.
     """
     fleet = Fleet(desk=24, spare=0)
     layout = replace(fleet.state.layout, homes={"desk": 12})
-    fleet.give(
+    fleet.reduce(
         DirectoryRead(now_ms=fleet.now_ms, services=fleet.state.services, waves={}, layout=layout)
     )
     gone: set[str] = set()
@@ -68,10 +67,9 @@
 
 
 def test_pace_of_large_jobs_is_told_by_all_shares_together() -> None:
-    """In its turn a queue of large jobs gets ten a second, and each of two shares three lately.
+    """Neither share has enough recent jobs to tell a surge from one large job.
 
-    Neither has enough to tell a surge from one large job; together they do, and machines come
-    before the first job has to wait.
+    Together they do, so machines are ordered before jobs have to wait.
     """
     fleet = Fleet(shares=2, desk=8, spare=8)
     fleet.arriving["desk"] = (3, 6 * CPU)
--- a/tests/pooling/test_wave_records.py
+++ b/tests/pooling/test_wave_records.py
@@ -1,4 +1,4 @@
-"""A next owner of the fleet goes on with a wave where the last one was."""
+"""Tests that a new owner of the fleet resumes a wave."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def make_progress(*, began_ms: int, begun: set[str] | None = None) -> WaveProgress:
-    """Return a wave that was taken in at a time."""
+    """Return the progress of a wave that began at a time."""
     return WaveProgress(wave=WAVE, began_ms=began_ms, begun=begun or set())
 
 
 def take_over(value: bytes, *, after_ms: int, now_ms: int = 500) -> WaveProgress:
-    """Let another process, with a steady clock of its own, read a wave's record later."""
+    """Restore a wave's record later in a process with another monotonic clock."""
     progress = make_progress(began_ms=now_ms)
     restore_wave(progress, value, now_ms=now_ms, wall_ms=WALL_MS + after_ms)
     return progress
@@ -49,7 +49,7 @@
 
 
 def test_record_that_cannot_be_read_is_told(caplog: pytest.LogCaptureFixture) -> None:
-    """All machines count as not begun: those that were are maintained twice, and none is left."""
+    """All machines count as not begun: some may be maintained twice, but none is left out."""
     assert take_over(b"{", after_ms=0).begun == set()
     assert [record.__dict__["event"] for record in caplog.records] == ["wave_record_bad"]
 
@@ -57,7 +57,7 @@
 def test_next_owner_spares_no_busy_pool_when_the_wave_is_late() -> None:
     """The fleet's owner is lost half-way through a wave whose last machines are in a busy pool.
 
-    The next one took the wave to have just begun, and waited for the turn's end beyond its time.
+    A new owner that restarted the wave's time would defer them past the wave's end.
     """
     first = make_progress(began_ms=0, begun={"desk0"})
     value = encode_wave(first, now_ms=14_000, wall_ms=WALL_MS)
@@ -70,5 +70,5 @@
 
 
 def restore(state: FleetState, value: bytes, *, now_ms: int) -> None:
-    """Let a fleet's state take in the record of its wave, read at once."""
+    """Restore the record of a wave into a fleet's state."""
     restore_wave(state.waves[WAVE.number], value, now_ms=now_ms, wall_ms=WALL_MS)
