--- a/tests/pooling/fleet.py
+++ b/tests/pooling/fleet.py
@@ -38,7 +38,7 @@
         self.pool_of = {f"{pool}{n}": pool for pool, count in pools.items() for n in range(count)}
         self.state_of: dict[str, str] = {}
         self.used: dict[str, int] = {}
-        self.lasting: dict[str, int] = {}
+        self.long_running: dict[str, int] = {}
         self.wanted_memory_mb: dict[str, int] = {}
         self.lacking: dict[str, int] = {}
         self.needs: dict[str, list[Need]] = {}
@@ -113,7 +113,9 @@
                     unheard=[f"i-{name}" for name in members if name in self.unresponsive],
                     empty=[f"i-{name}" for name in members if name in self.empty],
                     lasting={
-                        f"i-{name}": self.lasting[name] for name in members if name in self.lasting
+                        f"i-{name}": self.long_running[name]
+                        for name in members
+                        if name in self.long_running
                     },
                 )
             )
--- a/tests/pooling/test_departed.py
+++ b/tests/pooling/test_departed.py
@@ -25,7 +25,7 @@
     return machine
 
 
-def test_worker_whose_machine_has_gone_is_named_as_leaving() -> None:
+def test_worker_of_departed_machine_is_reported_as_leaving() -> None:
     # Until the worker's entry expires, its share's owner would prefer the empty worker for the next
     # job's tasks and send them to an address where nothing listens.
     fleet = Fleet(desk=9, spare=0)
@@ -38,7 +38,7 @@
     assert f"i-{machine}" in fleet.state.leaving_workers().get(0, [])
 
 
-def test_worker_is_named_until_its_entry_has_surely_gone() -> None:
+def test_departed_worker_is_reported_until_its_entry_has_expired() -> None:
     fleet = Fleet(desk=9, spare=0)
     machine = take_away(fleet)
     fleet.pool_of[machine] = "spare"
@@ -50,7 +50,7 @@
     assert not fleet.state.departed
 
 
-def test_machine_that_never_went_serves_on() -> None:
+def test_machine_whose_order_was_never_carried_out_serves_on() -> None:
     # The order was never carried out, and the list shows the same incarnation in the same pool
     # after the settle time. The worker must get tasks again.
     fleet = Fleet(desk=9, spare=0)
@@ -62,7 +62,7 @@
     assert not fleet.state.leaving_workers()
 
 
-def test_only_the_owner_of_the_workers_share_is_told() -> None:
+def test_only_the_owner_of_the_workers_share_is_notified() -> None:
     # Sending all leaving workers to every owner would load the links at the end of a demand peak.
     fleet = Fleet(desk=16, spare=0, shares=2)
     fleet.empty = set(fleet.pool_of)
@@ -76,7 +76,7 @@
     assert leaving[0] | leaving[1] == named
 
 
-def test_worker_that_names_no_machine_is_told_to_whoever_has_it() -> None:
+def test_worker_without_a_machine_name_is_reported_to_its_owner() -> None:
     # The worker's owner follows from its own id. If another owner were notified, the worker would
     # never be emptied, and its machine's maintenance would never begin.
     wave = Wave(number=1, machines=["desk0"], duration_s=30, max_down=1)
--- a/tests/pooling/test_lost_zone.py
+++ b/tests/pooling/test_lost_zone.py
@@ -24,7 +24,7 @@
     fleet.unresponsive = {name for name, at in fleet.zone_of.items() if at == zone}
 
 
-def test_pool_gets_others_for_the_machines_that_do_not_answer() -> None:
+def test_pool_gets_replacements_for_unresponsive_machines() -> None:
     """Machines in a zone that is cut off are still listed as up.
 
     Counted as capacity, they would keep the pool from getting others until the zone is back.
@@ -37,7 +37,7 @@
     assert len(fleet.plan()) == 2
 
 
-def test_machines_that_come_are_not_of_the_cut_zone() -> None:
+def test_no_machines_are_moved_from_a_zone_that_is_cut_off() -> None:
     """Standby machines of a zone that is cut off would be unreachable after the move."""
     fleet = make_fleet(desk=8, portal=4, spare=8)
     cut_off(fleet, "a")
@@ -47,7 +47,7 @@
     assert {fleet.zone_of[intent.machine] for intent in moved[:4]} <= {"b", "c", "d"}
 
 
-def test_owner_that_hears_nobody_gets_no_machines() -> None:
+def test_owner_that_is_cut_off_gets_no_machines() -> None:
     """The pool's owner itself is cut off: more machines would be unresponsive too."""
     fleet = make_fleet(desk=8, spare=8)
     fleet.unresponsive = {f"desk{n}" for n in range(6)}
@@ -55,7 +55,7 @@
     assert not fleet.plan()
 
 
-def test_machines_that_answer_again_are_counted_at_once() -> None:
+def test_machines_that_respond_again_are_counted_at_once() -> None:
     fleet = make_fleet(desk=8, spare=8)
     cut_off(fleet, "b")
     fleet.measure(desk=WANTED)
--- a/tests/pooling/test_orders_record.py
+++ b/tests/pooling/test_orders_record.py
@@ -54,7 +54,7 @@
     trio.run(async_test)
 
 
-def test_next_owner_leaves_machines_alone_that_were_just_ordered_away() -> None:
+def test_new_owner_does_not_order_machines_that_were_just_ordered() -> None:
     """The fleet's owner is killed right after an order, and its successor starts at once.
 
     Orders of two holders for one machine within its lease violate the platform's rules.
--- a/tests/pooling/test_plans.py
+++ b/tests/pooling/test_plans.py
@@ -13,7 +13,7 @@
 from .fleet import CPU, MEMORY_MB, Fleet
 
 
-def test_pool_in_its_turn_gets_standby_machines_at_once() -> None:
+def test_pool_with_high_demand_gets_standby_machines_at_once() -> None:
     """A queue's demand rises to several times its pool's capacity."""
     fleet = Fleet(desk=2, spare=4)
     fleet.measure(desk=5 * CPU)
@@ -45,15 +45,15 @@
     assert (moved.machine, moved.pool) == (leaving[0], "desk")
 
 
-def test_machine_with_a_lasting_task_is_not_moved() -> None:
+def test_machine_with_a_long_running_task_is_not_moved() -> None:
     fleet = Fleet(desk=2, portal=3)
-    fleet.lasting = {f"portal{n}": 1 for n in range(3)}
+    fleet.long_running = {f"portal{n}": 1 for n in range(3)}
     fleet.measure(desk=5 * CPU, portal=0)
     fleet.plan()
     assert not fleet.state.intents
 
 
-def test_surplus_is_parked_only_after_a_while_and_not_below_the_floor() -> None:
+def test_surplus_moves_to_standby_after_a_delay_and_not_below_the_minimum() -> None:
     fleet = Fleet(desk=6, spare=1)
     for _ in range((PEAK_RETENTION_MS + STANDBY_DELAY_MS) // 100 + 2):
         fleet.measure(desk=0)
@@ -62,7 +62,7 @@
     assert len(parked) == 3
 
 
-def test_pool_whose_load_is_not_known_gives_and_gets_nothing() -> None:
+def test_pool_with_unknown_load_neither_gains_nor_loses_machines() -> None:
     """A pool's owner is unreachable, so its last load may be outdated."""
     fleet = Fleet(desk=2, portal=6, spare=2)
     fleet.measure(desk=5 * CPU, portal=0)
@@ -70,7 +70,7 @@
     assert not fleet.state.intents
 
 
-def test_wave_keeps_to_how_many_may_be_down_and_begins_with_what_is_off() -> None:
+def test_wave_respects_its_limit_and_begins_with_standby_machines() -> None:
     wave = Wave(number=1, machines=["spare0", "desk0", "desk1"], max_down=1, duration_s=60)
     fleet = Fleet(waves=[wave], desk=6, spare=2)
     fleet.measure(desk=0)
@@ -81,19 +81,19 @@
     assert not fleet.plan()
 
 
-def test_wave_begins_early_with_what_takes_longest_to_empty() -> None:
+def test_wave_begins_with_machines_that_take_longest_to_empty() -> None:
     """Machines with long-running tasks take longest to empty and would end late if begun last.
 
     Half of the wave's concurrency remains for machines that empty quickly.
     """
     names = [f"desk{number}" for number in range(12)]
     fleet = Fleet(waves=[Wave(number=1, machines=names, max_down=4)], desk=24)
-    fleet.lasting = {f"desk{number}": 2 for number in range(6, 12)}
+    fleet.long_running = {f"desk{number}": 2 for number in range(6, 12)}
     fleet.measure(desk=0)
     fleet.plan()
     begun = {i.machine for i in fleet.state.intents.values() if i.purpose is Purpose.MAINTAIN}
     assert len(begun) == 4
-    assert len(begun & fleet.lasting.keys()) == 2
+    assert len(begun & fleet.long_running.keys()) == 2
 
 
 def test_wave_is_complete_only_when_each_machine_was_begun() -> None:
@@ -115,7 +115,7 @@
     assert isinstance(last, SaveWave) and last.progress.is_complete
 
 
-def test_pool_in_its_turn_is_spared_maintenance_while_there_is_time() -> None:
+def test_maintenance_of_a_busy_pool_is_deferred_while_there_is_time() -> None:
     wave = Wave(number=1, machines=["desk0", "portal0"], max_down=2, duration_s=60)
     fleet = Fleet(waves=[wave], desk=4, portal=4)
     fleet.measure(desk=3 * CPU, portal=0)
@@ -123,7 +123,7 @@
     assert [intent.machine for intent in fleet.state.intents.values()] == ["portal0"]
 
 
-def test_late_wave_spares_no_pool() -> None:
+def test_late_wave_defers_no_pool() -> None:
     wave = Wave(number=1, machines=["desk0"], max_down=1, duration_s=10)
     fleet = Fleet(waves=[wave], desk=4)
     fleet.measure(desk=3 * CPU)
@@ -131,7 +131,7 @@
     assert list(fleet.state.intents) == ["desk0"]
 
 
-def test_order_without_an_answer_keeps_its_machine_out_of_other_plans() -> None:
+def test_unanswered_order_reserves_its_machine() -> None:
     """An unanswered move may be carried out seconds later.
 
     Tasks placed on the machine in the meantime would be lost.
@@ -147,7 +147,7 @@
     assert again.machine == moved.machine
 
 
-def test_owner_that_may_not_order_lets_unordered_machines_serve_on() -> None:
+def test_owner_that_cannot_order_cancels_unsent_intents() -> None:
     fleet = Fleet(desk=2, portal=6)
     fleet.measure(desk=5 * CPU, portal=0)
     fleet.plan()
@@ -156,7 +156,7 @@
     assert not fleet.state.intents
 
 
-def test_machine_that_another_owner_has_just_ordered_waits() -> None:
+def test_machine_that_another_owner_has_just_ordered_is_blocked() -> None:
     fleet = Fleet(desk=2, spare=1)
     fleet.state.blocked_until_ms["spare0"] = fleet.now_ms + 3000
     fleet.measure(desk=5 * CPU)
@@ -165,7 +165,7 @@
     assert fleet.plan(after_ms=3000)
 
 
-def test_machines_that_may_be_ordered_now_go_first() -> None:
+def test_machines_that_can_be_ordered_now_are_preferred() -> None:
     """A new owner may not order machines for some seconds that its predecessor moved to standby.
 
     Idle machines of another pool can be ordered at once.
@@ -181,7 +181,7 @@
     assert {intent.from_pool for intent in ordered} == {"portal"}
 
 
-def test_pool_whose_turn_has_just_ended_gives_to_one_whose_turn_begins() -> None:
+def test_pool_releases_machines_at_once_when_another_has_a_shortfall() -> None:
     """Demand moves from one pool to another while no machine is on standby.
 
     The first pool mustn't keep its machines for its own recent peak.
@@ -215,7 +215,7 @@
     assert not fleet.state.intents
 
 
-def test_lasting_task_that_fits_on_no_machine_gets_one() -> None:
+def test_long_running_task_that_fits_on_no_machine_gets_one() -> None:
     """The pool's free memory suffices in total, but on no single machine.
 
     Without another machine the task would never start.
@@ -228,14 +228,14 @@
     assert not fleet.plan(), "more are asked for only when these have come"
 
 
-def test_lasting_tasks_without_room_go_before_a_pools_turn() -> None:
+def test_long_running_tasks_without_capacity_come_before_other_demand() -> None:
     fleet = Fleet(desk=4, portal=4, spare=1)
     fleet.lacking["desk"] = 1
     fleet.measure(desk=CPU, portal=9 * CPU)
     assert [intent.pool for intent in fleet.plan()] == ["desk"]
 
 
-def test_wave_keeps_its_pace_while_a_pool_lacks_machines() -> None:
+def test_wave_is_limited_to_its_schedule_while_a_pool_lacks_machines() -> None:
     """A wave of standby machines begins as a pool's demand rises.
 
     If all of them went down at once, the pool would have to wait for them.
@@ -251,7 +251,7 @@
     assert len(ordered) - len(maintained) == 8
 
 
-def test_wave_takes_all_that_it_may_while_no_pool_lacks_any() -> None:
+def test_wave_uses_its_full_limit_while_no_pool_lacks_machines() -> None:
     names = [f"spare{number}" for number in range(12)]
     fleet = Fleet(
         desk=4, spare=12, waves=[Wave(number=1, machines=names, max_down=12, duration_s=27)]
@@ -260,7 +260,7 @@
     assert len([intent for intent in fleet.plan() if intent.wave]) == 12
 
 
-def test_task_that_wants_a_label_gets_a_machine_that_has_it() -> None:
+def test_task_that_needs_a_label_gets_a_machine_with_it() -> None:
     """A job needs a label, and the last machine with it has moved to the standby pool.
 
     The pool has enough processor and memory, so without a check for labels nothing would move.
@@ -283,7 +283,7 @@
     assert not fleet.plan()
 
 
-def test_machine_that_is_there_but_not_listed_yet_meets_a_need() -> None:
+def test_machine_in_the_share_without_a_listed_worker_meets_a_need() -> None:
     fleet = Fleet(desk=4, spare=6)
     fleet.labels_of |= {"desk0": ["b", "r1"], "spare0": ["b", "r2"]}
     fleet.list_machines()
@@ -292,13 +292,13 @@
     assert not fleet.plan()
 
 
-def test_machine_with_a_lasting_task_meets_no_need() -> None:
+def test_machine_with_a_long_running_task_meets_no_need() -> None:
     """A large task waits while each machine of its share has a long-running task.
 
     One empty machine is moved to the share for it, and only one.
     """
     fleet = Fleet(desk=2, spare=2)
-    fleet.lasting = {"desk0": 1, "desk1": 2}
+    fleet.long_running = {"desk0": 1, "desk1": 2}
     fleet.needs["desk"] = [Need(cpu=CPU - 1)]
     fleet.measure(desk=CPU // 2)
     assert len(fleet.plan()) == 1
@@ -306,10 +306,10 @@
     assert not fleet.plan()
 
 
-def test_log_tells_once_a_second_how_the_pools_stand(caplog: pytest.LogCaptureFixture) -> None:
+def test_pools_are_logged_once_a_second(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO")
     fleet = Fleet(desk=3, spare=4)
-    fleet.lasting = {"desk0": 1}
+    fleet.long_running = {"desk0": 1}
     fleet.measure(desk=5 * CPU)
     for _ in range(12):
         fleet.plan()
--- a/tests/pooling/test_rising_pace.py
+++ b/tests/pooling/test_rising_arrival_rate.py
@@ -26,7 +26,7 @@
     return [cores_a_second * step * STEP_MS / 1000 for step in range(1, steps + 1)]
 
 
-def test_machines_are_asked_for_before_the_pace_needs_them() -> None:
+def test_machines_are_ordered_before_the_arrival_rate_needs_them() -> None:
     # Machines ordered for the current rate would be late throughout the rise.
     fleet = Fleet(desk=2, spare=60)
     arrival_rates = rising(5, 4)
@@ -36,7 +36,7 @@
         assert asked[step] + 2 >= arrival_rates[step + later] / 1.15 - 1
 
 
-def test_steady_pace_asks_for_no_more_than_it_needs() -> None:
+def test_steady_arrival_rate_orders_no_more_than_it_needs() -> None:
     # Nine machines serve a rate of ten cores at the target utilization, and two are there already.
     # Once a rise has ended, nothing is added for it.
     steady, risen = Fleet(desk=2, spare=60), Fleet(desk=2, spare=60)
@@ -46,7 +46,7 @@
     assert demanded_cpu(risen.state, next(iter(risen.state.views))) <= 10.0 * CPU
 
 
-def test_pace_that_jumps_is_taken_to_double_at_the_most() -> None:
+def test_growth_after_a_jump_of_the_arrival_rate_is_limited() -> None:
     # A trend can't be extrapolated from a sudden jump, such as after an outage.
     fleet = Fleet(desk=2, spare=60)
     play(fleet, [0.0] * 20 + [10.0])
@@ -54,7 +54,7 @@
     assert demanded_cpu(fleet.state, view) <= MAX_GROWTH_FACTOR * 10 * CPU
 
 
-def test_pace_that_falls_is_not_taken_to_fall_further() -> None:
+def test_falling_arrival_rate_is_not_extrapolated() -> None:
     # Jobs that wait from the peak still have to run.
     fleet = Fleet(desk=2, spare=60)
     play(fleet, [20.0] * 20 + [10.0] * 3)
--- a/tests/pooling/test_shares.py
+++ b/tests/pooling/test_shares.py
@@ -10,7 +10,7 @@
 from .fleet import CPU, Fleet
 
 
-def test_share_gets_machines_that_will_be_its_own() -> None:
+def test_share_gets_machines_that_belong_to_it() -> None:
     """Only one of a pool's two shares has a shortfall.
 
     Half of the standby machines would join the other share, since a machine's share is fixed.
@@ -24,7 +24,7 @@
         assert fleet.state.share_of(intent.machine, "desk") == Share("desk", 1)
 
 
-def test_share_that_is_not_heard_gets_and_gives_nothing() -> None:
+def test_share_without_a_load_neither_gains_nor_loses_machines() -> None:
     """One partition's owner is gone; the load of the other says nothing about its share."""
     fleet = Fleet(shares=2, desk=12, spare=4)
     for _ in range((STANDBY_DELAY_MS + PEAK_RETENTION_MS) // 100 + 5):
@@ -34,7 +34,7 @@
             assert fleet.state.share_of(intent.machine, "desk") == Share("desk", 0)
 
 
-def test_each_share_keeps_its_floor() -> None:
+def test_each_share_keeps_its_minimum() -> None:
     """Each share keeps its own minimum; the surplus of one doesn't help the other."""
     fleet = Fleet(shares=2, desk=24, spare=0)
     gone: set[str] = set()
@@ -48,7 +48,7 @@
     assert shares.count(Share("desk", 0)) == shares.count(Share("desk", 1)) == 5
 
 
-def test_next_owner_keeps_no_more_than_the_first() -> None:
+def test_new_owner_keeps_the_initial_minimum() -> None:
     """The fleet's owner is lost while a pool has twice its initial machines.
 
     The next owner mustn't take the current size for the initial one, which sets the minimum.
@@ -66,7 +66,7 @@
     assert len(fleet.pool_of) - len(gone) == 5
 
 
-def test_pace_of_large_jobs_is_told_by_all_shares_together() -> None:
+def test_arrival_rate_is_measured_over_all_shares() -> None:
     """Neither share has enough recent jobs to tell a surge from one large job.
 
     Together they do, so machines are ordered before jobs have to wait.
--- a/tests/pooling/test_parking.py
+++ b/tests/pooling/test_standby.py
@@ -10,7 +10,7 @@
 LOOK_MS = 100
 
 
-def test_machine_about_to_be_parked_stays_when_a_share_is_short() -> None:
+def test_unsent_move_to_standby_is_cancelled_on_a_shortfall() -> None:
     """A machine that is being emptied for standby goes to the pool with a shortfall instead.
 
     Otherwise it would be unavailable for two moves.
@@ -26,7 +26,7 @@
     assert moves and all(intent.pool == "portal" for intent in moves)
 
 
-def test_order_to_park_that_has_left_stands() -> None:
+def test_sent_order_to_standby_is_not_cancelled() -> None:
     """The machine may have moved already, so it is reserved until the list shows where it is."""
     fleet = Fleet(desk=20, portal=10, spare=0)
     for _ in range((PEAK_RETENTION_MS + STANDBY_DELAY_MS) // LOOK_MS + 2):
--- a/tests/pooling/test_wave_records.py
+++ b/tests/pooling/test_wave_records.py
@@ -28,7 +28,7 @@
     return progress
 
 
-def test_wave_lasts_since_its_first_owner_took_it_in() -> None:
+def test_wave_counts_from_its_acceptance_by_the_first_owner() -> None:
     first = make_progress(began_ms=70_000, begun={"desk1", "desk0"})
     value = encode_wave(first, now_ms=73_000, wall_ms=WALL_MS)
     then = take_over(value, after_ms=9_000)
@@ -38,7 +38,7 @@
     assert msgspec.json.decode(again) == msgspec.json.decode(value)
 
 
-def test_clocks_that_differ_begin_no_wave_in_the_future() -> None:
+def test_clock_skew_begins_no_wave_in_the_future() -> None:
     value = encode_wave(make_progress(began_ms=0), now_ms=0, wall_ms=WALL_MS)
     assert take_over(value, after_ms=-2000).began_ms == 500
 
@@ -48,13 +48,13 @@
     assert (then.begun, then.began_ms) == ({"desk0"}, 500)
 
 
-def test_record_that_cannot_be_read_is_told(caplog: pytest.LogCaptureFixture) -> None:
+def test_invalid_record_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     """All machines count as not begun: some may be maintained twice, but none is left out."""
     assert take_over(b"{", after_ms=0).begun == set()
     assert [record.__dict__["event"] for record in caplog.records] == ["wave_record_bad"]
 
 
-def test_next_owner_spares_no_busy_pool_when_the_wave_is_late() -> None:
+def test_new_owner_defers_no_busy_pool_when_the_wave_is_late() -> None:
     """The fleet's owner is lost half-way through a wave whose last machines are in a busy pool.
 
     A new owner that restarted the wave's time would defer them past the wave's end.
