--- a/heatherkeel/measure/simulated_fleet.py
+++ b/heatherkeel/measure/simulated_fleet.py
@@ -35,7 +35,7 @@
 from heatherkeel.pooling.models import (
     DirectoryRead,
     FleetEvent,
-    FleetState,
+    FleetOwnerState,
     MachinesListed,
     OrderAnswered,
     OrderMachine,
@@ -99,7 +99,7 @@
         self.numbers: dict[str, int] = {}
         self.listed_ms = 0
         self.state = PartitionState(token=1, lease_ms=6000, status_ms=1 << 40)
-        self.fleet = FleetState(token=1)
+        self.fleet = FleetOwnerState(token=1)
         self._deal_machines(machines)
         queues = {
             pool: Queue(
--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -35,7 +35,7 @@
     DirectoryRead,
     FleetEffect,
     FleetEvent,
-    FleetState,
+    FleetOwnerState,
     MachinesListed,
     OrderMachine,
     PlanDue,
@@ -75,7 +75,7 @@
         self.links = links
         self.may_order = may_order
         self.partition = fleet_partition(settings.store.partitions)
-        self.state = FleetState(token=token)
+        self.state = FleetOwnerState(token=token)
         self.journal = Journal(
             store=store, partition=self.partition, token=token, on_fenced=on_fenced
         )
--- a/heatherkeel/pooling/models.py
+++ b/heatherkeel/pooling/models.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class FleetState:
+class FleetOwnerState:
     """State of the fleet's owner."""
 
     token: int
--- a/heatherkeel/pooling/moves.py
+++ b/heatherkeel/pooling/moves.py
@@ -11,12 +11,12 @@
     MIN_MACHINES,
     MIN_SIZE_FRACTION,
 )
-from .models import FleetState, Intent, Purpose, Share
+from .models import FleetOwnerState, Intent, Purpose, Share
 from .standby import choose_for_standby
 from .supply import Supply, count_needed, find_fresh_view, find_lost_zones, list_staying
 
 
-def plan_moves(state: FleetState, supply: Supply) -> list[Intent]:
+def plan_moves(state: FleetOwnerState, supply: Supply) -> list[Intent]:
     """Return the moves to shares with a shortfall, then those to the standby pool."""
     shortfall = supply.shortfall
     candidates = _list_candidates(state, supply)
@@ -34,7 +34,7 @@
     return intents + _plan_standby_moves(state, candidates)
 
 
-def _plan_standby_moves(state: FleetState, candidates: list[Machine]) -> list[Intent]:
+def _plan_standby_moves(state: FleetOwnerState, candidates: list[Machine]) -> list[Intent]:
     """Return the moves to the standby pool of machines that no share needs."""
     standby = state.standby_pool()
     if standby is None:
@@ -42,12 +42,12 @@
     return [_move(state, machine, standby) for machine in choose_for_standby(state, candidates)]
 
 
-def _rank(state: FleetState, share: Share, shortfall: dict[Share, int]) -> tuple[bool, int]:
+def _rank(state: FleetOwnerState, share: Share, shortfall: dict[Share, int]) -> tuple[bool, int]:
     """Rank shares for machines; those whose long-running tasks fit on no machine come first."""
     return (state.views[share].load.lacking > 0, shortfall[share])
 
 
-def _plan_needs(state: FleetState, candidates: list[Machine]) -> list[Intent]:
+def _plan_needs(state: FleetOwnerState, candidates: list[Machine]) -> list[Intent]:
     """Return the moves for tasks that fit on no machine of their share.
 
     Machines move to standby regardless of their labels and size, so a task with special
@@ -73,7 +73,7 @@
     return intents
 
 
-def _is_need_met(state: FleetState, share: Share, need: Need, planned: list[Intent]) -> bool:
+def _is_need_met(state: FleetOwnerState, share: Share, need: Need, planned: list[Intent]) -> bool:
     """Return whether a machine that fits a need is in a share or on its way to it.
 
     A machine with a long-running task doesn't count: the share's owner has found it too full.
@@ -110,12 +110,12 @@
     )
 
 
-def _would_join(state: FleetState, machine: Machine, share: Share) -> bool:
+def _would_join(state: FleetOwnerState, machine: Machine, share: Share) -> bool:
     """Return whether a machine would join a share by a move to the share's pool."""
     return machine.pool != share.pool and state.share_of(machine.name, share.pool) == share
 
 
-def _list_candidates(state: FleetState, supply: Supply) -> list[Machine]:
+def _list_candidates(state: FleetOwnerState, supply: Supply) -> list[Machine]:
     """Return the machines that may be moved, in order of preference.
 
     Standby machines come first. Machines in lost zones, and those that an earlier owner has just
@@ -138,7 +138,7 @@
 
 
 def _list_surplus(
-    state: FleetState, share: Share, machines: list[Machine], *, recent: bool
+    state: FleetOwnerState, share: Share, machines: list[Machine], *, recent: bool
 ) -> list[Machine]:
     """Return the machines beyond a share's demand, the least used first.
 
@@ -162,7 +162,7 @@
     return free[: max(0, spare)]
 
 
-def _min_machines(state: FleetState, share: Share) -> int:
+def _min_machines(state: FleetOwnerState, share: Share) -> int:
     """Return how many machines a share keeps between demand peaks.
 
     They serve jobs until further machines arrive, and cover failures, maintenance and times
@@ -171,7 +171,7 @@
     return max(MIN_MACHINES, ceil(MIN_SIZE_FRACTION * state.initial_size(share)))
 
 
-def _move(state: FleetState, machine: Machine, pool: str) -> Intent:
+def _move(state: FleetOwnerState, machine: Machine, pool: str) -> Intent:
     return Intent(
         machine=machine.name,
         worker_id=None if state.is_standby(machine.pool) else machine.worker_id,
--- a/heatherkeel/pooling/reducer.py
+++ b/heatherkeel/pooling/reducer.py
@@ -13,7 +13,7 @@
     DirectoryRead,
     FleetEffect,
     FleetEvent,
-    FleetState,
+    FleetOwnerState,
     Intent,
     MachinesListed,
     OrderAnswered,
@@ -35,35 +35,35 @@
 _LOGGER = logging.getLogger(__name__)
 
 EventT = TypeVar("EventT", bound=FleetEvent)
-Handler = Callable[[FleetState, Any], list[FleetEffect]]
+Handler = Callable[[FleetOwnerState, Any], list[FleetEffect]]
 HANDLERS: Final[dict[type[FleetEvent], Handler]] = {}
 
 
 def handles(
     kind: type[EventT],
 ) -> Callable[
-    [Callable[[FleetState, EventT], list[FleetEffect]]],
-    Callable[[FleetState, EventT], list[FleetEffect]],
+    [Callable[[FleetOwnerState, EventT], list[FleetEffect]]],
+    Callable[[FleetOwnerState, EventT], list[FleetEffect]],
 ]:
     """Register the handler of a kind of event."""
 
     def register(
-        handler: Callable[[FleetState, EventT], list[FleetEffect]],
-    ) -> Callable[[FleetState, EventT], list[FleetEffect]]:
+        handler: Callable[[FleetOwnerState, EventT], list[FleetEffect]],
+    ) -> Callable[[FleetOwnerState, EventT], list[FleetEffect]]:
         HANDLERS[kind] = handler
         return handler
 
     return register
 
 
-def reduce_fleet(state: FleetState, event: FleetEvent) -> list[FleetEffect]:
+def reduce_fleet(state: FleetOwnerState, event: FleetEvent) -> list[FleetEffect]:
     """Apply an event to the state; return the effects in order."""
     state.now_ms = max(state.now_ms, event.now_ms)
     return HANDLERS[type(event)](state, event)
 
 
 @handles(DirectoryRead)
-def apply_directory(state: FleetState, event: DirectoryRead) -> list[FleetEffect]:
+def apply_directory(state: FleetOwnerState, event: DirectoryRead) -> list[FleetEffect]:
     """Apply services, layout and waves; new waves are reported as in progress."""
     state.services = event.services
     state.layout = event.layout
@@ -85,7 +85,7 @@
 
 
 @handles(PoolsMeasured)
-def record_loads(state: FleetState, event: PoolsMeasured) -> list[FleetEffect]:
+def record_loads(state: FleetOwnerState, event: PoolsMeasured) -> list[FleetEffect]:
     """Record the loads of one partition's shares."""
     for load in event.loads:
         share = Share(pool=load.service, partition=event.partition)
@@ -99,7 +99,7 @@
 
 
 @handles(MachinesListed)
-def apply_machine_list(state: FleetState, event: MachinesListed) -> list[FleetEffect]:
+def apply_machine_list(state: FleetOwnerState, event: MachinesListed) -> list[FleetEffect]:
     """Apply the list of machines, and remove the intents that it shows to be finished."""
     state.machines = {machine.name: machine for machine in event.machines}
     state.listed_ms = event.sent_ms
@@ -115,7 +115,7 @@
     return []
 
 
-def _is_finished(state: FleetState, intent: Intent, sent_ms: int) -> bool:
+def _is_finished(state: FleetOwnerState, intent: Intent, sent_ms: int) -> bool:
     """Return whether the list requested at `sent_ms` shows that an intent is finished.
 
     An unanswered order may be carried out seconds later, so its machine stays reserved until the
@@ -137,7 +137,7 @@
 
 
 @handles(OrderAnswered)
-def handle_order_answer(state: FleetState, event: OrderAnswered) -> list[FleetEffect]:
+def handle_order_answer(state: FleetOwnerState, event: OrderAnswered) -> list[FleetEffect]:
     """Handle the answer to an order."""
     intent = state.intents.get(event.machine)
     if intent is None:
@@ -173,7 +173,7 @@
     return []
 
 
-def _record_begun(state: FleetState, intent: Intent) -> list[FleetEffect]:
+def _record_begun(state: FleetOwnerState, intent: Intent) -> list[FleetEffect]:
     progress = state.waves.get(intent.wave)
     if intent.purpose is not Purpose.MAINTAIN or progress is None:
         return []
@@ -182,7 +182,7 @@
 
 
 @handles(PlanDue)
-def plan(state: FleetState, event: PlanDue) -> list[FleetEffect]:
+def plan(state: FleetOwnerState, event: PlanDue) -> list[FleetEffect]:
     """Plan moves and maintenance, and order the machines that are empty."""
     if not event.may_order:
         _cancel_unsent(state)
@@ -206,7 +206,7 @@
     return effects + _complete_waves(state)
 
 
-def _cancel_unsent(state: FleetState) -> None:
+def _cancel_unsent(state: FleetOwnerState) -> None:
     """Cancel the intents whose orders weren't sent, so that their machines keep serving."""
     for name, intent in list(state.intents.items()):
         if intent.ordered_ms is None:
@@ -227,13 +227,13 @@
     )
 
 
-def _is_order_due(state: FleetState, intent: Intent) -> bool:
+def _is_order_due(state: FleetOwnerState, intent: Intent) -> bool:
     if state.now_ms < state.blocked_until_ms.get(intent.machine, 0):
         return False
     return intent.ordered_ms is None or state.now_ms - intent.ordered_ms >= ORDER_RETRY_MS
 
 
-def _is_empty(state: FleetState, intent: Intent) -> bool:
+def _is_empty(state: FleetOwnerState, intent: Intent) -> bool:
     """Return whether a recent load reports that nothing runs on the machine.
 
     Its share's owner starts nothing there once it has received the intent.
@@ -247,7 +247,7 @@
     )
 
 
-def _complete_waves(state: FleetState) -> list[FleetEffect]:
+def _complete_waves(state: FleetOwnerState) -> list[FleetEffect]:
     """Complete the waves of which each remaining machine was begun."""
     effects: list[FleetEffect] = []
     for progress in state.waves.values():
--- a/heatherkeel/pooling/standby.py
+++ b/heatherkeel/pooling/standby.py
@@ -5,10 +5,10 @@
 from heatherkeel.platform.machines import Machine
 
 from .const import MAX_SURPLUS_GAP_MS, STANDBY_DELAY_MS
-from .models import FleetState, Intent, Purpose, ShareView
+from .models import FleetOwnerState, Intent, Purpose, ShareView
 
 
-def choose_for_standby(state: FleetState, candidates: list[Machine]) -> list[Machine]:
+def choose_for_standby(state: FleetOwnerState, candidates: list[Machine]) -> list[Machine]:
     """Return the machines to move to the standby pool: those surplus for the whole delay."""
     chosen = []
     for share, view in state.views.items():
@@ -24,7 +24,7 @@
     return chosen
 
 
-def cancel_unsent_standby_moves(state: FleetState) -> bool:
+def cancel_unsent_standby_moves(state: FleetOwnerState) -> bool:
     """Cancel moves to the standby pool that weren't ordered yet; return whether there were any.
 
     A share has a shortfall again, and its machines can come directly from these.
@@ -39,11 +39,11 @@
     return bool(unsent)
 
 
-def _is_standby_move(state: FleetState, intent: Intent) -> bool:
+def _is_standby_move(state: FleetOwnerState, intent: Intent) -> bool:
     return intent.purpose is Purpose.MOVE and state.is_standby(intent.pool)
 
 
-def _min_surplus(state: FleetState, view: ShareView, count: int) -> int:
+def _min_surplus(state: FleetOwnerState, view: ShareView, count: int) -> int:
     """Return the lowest surplus of a share during the standby delay.
 
     Only the number is tracked, since the least used machines change with each measurement.
--- a/heatherkeel/pooling/supply.py
+++ b/heatherkeel/pooling/supply.py
@@ -21,7 +21,7 @@
     PEAK_RETENTION_MS,
     TREND_WINDOW_MS,
 )
-from .models import FleetState, Purpose, Share, ShareView
+from .models import FleetOwnerState, Purpose, Share, ShareView
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -32,14 +32,14 @@
     shortfall: dict[Share, int]
 
 
-def measure_supply(state: FleetState) -> Supply:
+def measure_supply(state: FleetOwnerState) -> Supply:
     """Compute the machines and the shortfall of each share."""
     _record_arrival_rates(state)
     members = _list_members(state)
     return Supply(members=members, shortfall=_find_shortfall(state, members))
 
 
-def demanded_cpu(state: FleetState, share: Share) -> float:
+def demanded_cpu(state: FleetOwnerState, share: Share) -> float:
     """Return the processor that a share's jobs need, or soon will at their arrival rate."""
     wanted_cpu = state.views[share].load.wanted_cpu
     return max(
@@ -47,7 +47,7 @@
     )
 
 
-def _projected_arriving_cpu(state: FleetState, share: Share) -> float:
+def _projected_arriving_cpu(state: FleetOwnerState, share: Share) -> float:
     """Return the projected arrival rate of a share when machines ordered now take tasks.
 
     Machines ordered for the current rate would be late throughout a rise.
@@ -65,7 +65,7 @@
     return min(rate + rise, MAX_GROWTH_FACTOR * rate)
 
 
-def _arrival_rate_per_share(state: FleetState, pool: str) -> float:
+def _arrival_rate_per_share(state: FleetOwnerState, pool: str) -> float:
     """Return a pool's arrival rate per share; 0 if too few jobs arrived to measure it.
 
     Jobs are spread evenly over the shares, and a single share gets too few to measure its own rate.
@@ -80,7 +80,7 @@
     return sum(load.arriving_cpu for load in loads) / len(loads)
 
 
-def _record_arrival_rates(state: FleetState) -> None:
+def _record_arrival_rates(state: FleetOwnerState) -> None:
     """Record the arrival rate of each pool and drop samples older than the trend needs."""
     for pool in {share.pool for share in state.views}:
         recent = [
@@ -91,7 +91,7 @@
         state.arrival_rates[pool] = [*recent, (state.now_ms, _arrival_rate_per_share(state, pool))]
 
 
-def record_peak(state: FleetState, share: Share) -> None:
+def record_peak(state: FleetOwnerState, share: Share) -> None:
     """Record the recent peaks of a share's demand."""
     view = state.views[share]
     wanted = demanded_cpu(state, share)
@@ -103,7 +103,7 @@
     view.peaks.append((state.now_ms, wanted))
 
 
-def _list_members(state: FleetState) -> dict[Share, list[Machine]]:
+def _list_members(state: FleetOwnerState) -> dict[Share, list[Machine]]:
     """Return the responsive machines of each share that are up and aren't to leave."""
     members: dict[Share, list[Machine]] = {share: [] for share in state.shares()}
     for machine in list_staying(state):
@@ -113,7 +113,9 @@
     return {share: _list_responsive(state, share, machines) for share, machines in members.items()}
 
 
-def _list_responsive(state: FleetState, share: Share, machines: list[Machine]) -> list[Machine]:
+def _list_responsive(
+    state: FleetOwnerState, share: Share, machines: list[Machine]
+) -> list[Machine]:
     """Return the machines whose workers are responsive.
 
     Machines in a zone that is cut off are still listed as up; counted as capacity, they would keep
@@ -125,7 +127,7 @@
     return responsive if len(responsive) >= MIN_RESPONSIVE_FRACTION * len(machines) else machines
 
 
-def list_staying(state: FleetState) -> list[Machine]:
+def list_staying(state: FleetOwnerState) -> list[Machine]:
     """Return the machines that are up and have no intent."""
     return [
         machine
@@ -134,7 +136,7 @@
     ]
 
 
-def find_fresh_view(state: FleetState, share: Share) -> ShareView | None:
+def find_fresh_view(state: FleetOwnerState, share: Share) -> ShareView | None:
     """Return the view of a share; None if it is too old for planning."""
     view = state.views.get(share)
     if view is None or state.now_ms - view.received_ms > LOAD_MAX_AGE_MS:
@@ -143,7 +145,7 @@
 
 
 def count_needed(
-    state: FleetState, share: Share, machines: list[Machine], *, recent: bool
+    state: FleetOwnerState, share: Share, machines: list[Machine], *, recent: bool
 ) -> int | None:
     """Return how many machines a share's demand needs; None if its load is unknown.
 
@@ -172,7 +174,9 @@
     return ceil(wanted / (FULL_SHARE * size)) if size else 0
 
 
-def _find_shortfall(state: FleetState, members: dict[Share, list[Machine]]) -> dict[Share, int]:
+def _find_shortfall(
+    state: FleetOwnerState, members: dict[Share, list[Machine]]
+) -> dict[Share, int]:
     """Return how many more machines each share needs, besides those on their way to it."""
     incoming = _count_incoming(state)
     shortfall = {}
@@ -186,7 +190,7 @@
     return shortfall
 
 
-def _count_incoming(state: FleetState) -> Counter[Share | None]:
+def _count_incoming(state: FleetOwnerState) -> Counter[Share | None]:
     """Count the machines on their way to each share, as intended or as listed."""
     incoming = Counter(
         state.share_of(intent.machine, intent.pool)
@@ -201,7 +205,7 @@
     return incoming
 
 
-def find_lost_zones(state: FleetState) -> set[str]:
+def find_lost_zones(state: FleetOwnerState) -> set[str]:
     """Return the zones with mostly unresponsive workers, whose machines add no capacity."""
     views = [
         view for share in state.shares() if (view := find_fresh_view(state, share)) is not None
--- a/heatherkeel/pooling/telling.py
+++ b/heatherkeel/pooling/telling.py
@@ -6,7 +6,7 @@
 from dataclasses import asdict, dataclass
 from typing import Final
 
-from .models import FleetState, Share
+from .models import FleetOwnerState, Share
 from .supply import Supply, demanded_cpu
 
 _LOGGER = logging.getLogger(__name__)
@@ -33,7 +33,7 @@
     """Age of the share's load in milliseconds; -1 if it is unknown."""
 
 
-def log_pools(state: FleetState, supply: Supply) -> None:
+def log_pools(state: FleetOwnerState, supply: Supply) -> None:
     """Log the state of all shares, at most once per interval."""
     if state.now_ms - state.logged_ms < LOG_INTERVAL_MS:
         return
@@ -42,7 +42,7 @@
     _LOGGER.info("pools", extra={"event": "pools", "shares": lines})
 
 
-def _describe(state: FleetState, supply: Supply, share: Share) -> ShareStatus:
+def _describe(state: FleetOwnerState, supply: Supply, share: Share) -> ShareStatus:
     view = state.views.get(share)
     leaving = sum(
         1
--- a/heatherkeel/pooling/waves.py
+++ b/heatherkeel/pooling/waves.py
@@ -13,10 +13,10 @@
     MAX_UNAVAILABLE_FRACTION,
     WAVE_SCHEDULE_MARGIN,
 )
-from .models import FleetState, Intent, Purpose, WaveProgress
+from .models import FleetOwnerState, Intent, Purpose, WaveProgress
 
 
-def plan_maintenance(state: FleetState, *, has_shortfall: bool) -> list[Intent]:
+def plan_maintenance(state: FleetOwnerState, *, has_shortfall: bool) -> list[Intent]:
     """Return the maintenance to begin now; `has_shortfall` if a pool lacks machines."""
     intents: list[Intent] = []
     for progress in state.waves.values():
@@ -26,7 +26,7 @@
 
 
 def _plan_wave(
-    state: FleetState, progress: WaveProgress, planned: list[Intent], *, has_shortfall: bool
+    state: FleetOwnerState, progress: WaveProgress, planned: list[Intent], *, has_shortfall: bool
 ) -> list[Intent]:
     reserved = state.intents.keys() | {intent.machine for intent in planned}
     due = [
@@ -74,7 +74,7 @@
     return intents
 
 
-def count_down(state: FleetState, progress: WaveProgress) -> int:
+def count_down(state: FleetOwnerState, progress: WaveProgress) -> int:
     """Count a wave's machines that are, or may be, down or being emptied for it."""
     down = {
         name
@@ -90,7 +90,7 @@
 
 
 def _rank(
-    state: FleetState, machine: Machine, loads: dict[str, float]
+    state: FleetOwnerState, machine: Machine, loads: dict[str, float]
 ) -> tuple[bool, bool, float, int, str]:
     """Rank machines for maintenance: standby ones, then the slowest to empty, then the idlest.
 
@@ -105,12 +105,12 @@
     return (True, is_quick, loads[machine.pool], used, machine.name)
 
 
-def _has_long_running_task(state: FleetState, machine: Machine) -> bool:
+def _has_long_running_task(state: FleetOwnerState, machine: Machine) -> bool:
     view = state.view_of(machine)
     return view is not None and machine.worker_id in view.load.lasting
 
 
-def _count_slow_slots(state: FleetState, progress: WaveProgress) -> int:
+def _count_slow_slots(state: FleetOwnerState, progress: WaveProgress) -> int:
     """Return how many more machines with long-running tasks may be emptied for a wave now.
 
     The limit leaves some of the wave's concurrency to machines that empty quickly.
@@ -126,7 +126,7 @@
     return max(1, int(MAX_SLOW_FRACTION * progress.wave.max_down)) - emptying
 
 
-def _pool_loads(state: FleetState) -> dict[str, float]:
+def _pool_loads(state: FleetOwnerState) -> dict[str, float]:
     """Return the utilization of each pool's processor; 1 if it is unknown."""
     capacities = dict.fromkeys((machine.pool for machine in state.machines.values()), 0)
     for machine in state.machines.values():
@@ -141,14 +141,14 @@
     }
 
 
-def _pool_sizes(state: FleetState) -> dict[str, int]:
+def _pool_sizes(state: FleetOwnerState) -> dict[str, int]:
     sizes: dict[str, int] = {}
     for machine in state.machines.values():
         sizes[machine.pool] = sizes.get(machine.pool, 0) + 1
     return sizes
 
 
-def _count_unavailable(state: FleetState, planned: list[Intent]) -> dict[str, int]:
+def _count_unavailable(state: FleetOwnerState, planned: list[Intent]) -> dict[str, int]:
     """Count the machines of each pool that are out of service or about to be."""
     unavailable: dict[str, int] = {}
     leaving = state.intents.keys() | {intent.machine for intent in planned}
@@ -158,7 +158,7 @@
     return unavailable
 
 
-def _required_down(state: FleetState, progress: WaveProgress, left: int) -> int:
+def _required_down(state: FleetOwnerState, progress: WaveProgress, left: int) -> int:
     """Return how many machines have to be down at once for the wave to end in time.
 
     While a pool lacks machines, a wave takes no more than this: it begins with standby machines,
@@ -169,7 +169,7 @@
     return ceil(WAVE_SCHEDULE_MARGIN * left * MAINTENANCE_CYCLE_S / left_s)
 
 
-def _is_late(state: FleetState, progress: WaveProgress, due: int) -> bool:
+def _is_late(state: FleetOwnerState, progress: WaveProgress, due: int) -> bool:
     """Return whether the wave needs its full concurrency from now on to end in time."""
     elapsed_s = (state.now_ms - progress.began_ms) / 1000
     left_s = progress.wave.duration_s - elapsed_s
--- a/tests/pooling/fleet.py
+++ b/tests/pooling/fleet.py
@@ -12,7 +12,7 @@
     DirectoryRead,
     FleetEffect,
     FleetEvent,
-    FleetState,
+    FleetOwnerState,
     Intent,
     MachinesListed,
     OrderAnswered,
@@ -32,7 +32,7 @@
     """Pools of machines with their demand, and the effects of all events."""
 
     def __init__(self, *, waves: list[Wave] | None = None, shares: int = 1, **pools: int) -> None:
-        self.state = FleetState(token=3)
+        self.state = FleetOwnerState(token=3)
         self.now_ms = 10_000
         self.effects: list[FleetEffect] = []
         self.pool_of = {f"{pool}{n}": pool for pool, count in pools.items() for n in range(count)}
--- a/tests/pooling/test_wave_records.py
+++ b/tests/pooling/test_wave_records.py
@@ -6,7 +6,7 @@
 import pytest
 
 from heatherkeel.platform.operator import Wave
-from heatherkeel.pooling.models import FleetState, Purpose, WaveProgress
+from heatherkeel.pooling.models import FleetOwnerState, Purpose, WaveProgress
 from heatherkeel.pooling.wave_records import encode_wave, restore_wave
 
 from .fleet import CPU, Fleet
@@ -69,6 +69,6 @@
     assert begun and "desk0" not in begun
 
 
-def restore(state: FleetState, value: bytes, *, now_ms: int) -> None:
+def restore(state: FleetOwnerState, value: bytes, *, now_ms: int) -> None:
     """Restore the record of a wave into a fleet's state."""
     restore_wave(state.waves[WAVE.number], value, now_ms=now_ms, wall_ms=WALL_MS)
