--- a/heatherkeel/pooling/models.py
+++ b/heatherkeel/pooling/models.py
@@ -20,7 +20,7 @@
     MAINTAIN = "maintain"
 
 
-class Share(NamedTuple):
+class PoolShare(NamedTuple):
     """A partition's part of a pool: its jobs and the machines that may run them."""
 
     pool: str
@@ -64,7 +64,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class ShareView:
+class PoolShareView:
     """The last reported load of a share, and its recent peaks and surplus."""
 
     load: PoolLoad
@@ -85,7 +85,7 @@
     listed_ms: int | None = None
     services: dict[str, Service] = field(default_factory=dict)
     layout: Layout = field(default_factory=Layout)
-    views: dict[Share, ShareView] = field(default_factory=dict)
+    views: dict[PoolShare, PoolShareView] = field(default_factory=dict)
     arrival_rates: dict[str, list[tuple[int, float]]] = field(default_factory=dict)
     """Recent arrival rates per share with their times, by pool."""
     waves: dict[int, WaveProgress] = field(default_factory=dict)
@@ -106,26 +106,26 @@
         service = self.services.get(pool)
         return service is not None and service.is_standby
 
-    def shares(self) -> list[Share]:
+    def shares(self) -> list[PoolShare]:
         """Return the shares of all pools except the standby pool."""
         return [
-            Share(pool=name, partition=partition)
+            PoolShare(pool=name, partition=partition)
             for name in self.services
             if not self.is_standby(name)
             for partition in self.layout.partitions_of(name)
         ]
 
-    def share_of(self, machine: str, pool: str) -> Share | None:
+    def share_of(self, machine: str, pool: str) -> PoolShare | None:
         """Return the share that a machine belongs to in a pool; None if it has none."""
         partition = self.layout.partition_of_machine(pool, machine)
-        return None if partition is None else Share(pool=pool, partition=partition)
+        return None if partition is None else PoolShare(pool=pool, partition=partition)
 
-    def initial_size(self, share: Share) -> float:
+    def initial_size(self, share: PoolShare) -> float:
         """Return the initial number of machines of a share, averaged over its pool's shares."""
         shares = self.layout.partitions_of(share.pool)
         return self.layout.homes.get(share.pool, 0) / len(shares) if shares else 0.0
 
-    def view_of(self, machine: Machine) -> ShareView | None:
+    def view_of(self, machine: Machine) -> PoolShareView | None:
         """Return the view of the share that a machine is in."""
         share = self.share_of(machine.name, machine.pool)
         return None if share is None else self.views.get(share)
--- a/heatherkeel/pooling/moves.py
+++ b/heatherkeel/pooling/moves.py
@@ -11,7 +11,7 @@
     MIN_MACHINES,
     MIN_SIZE_FRACTION,
 )
-from .models import FleetOwnerState, Intent, Purpose, Share
+from .models import FleetOwnerState, Intent, PoolShare, Purpose
 from .standby import choose_for_standby
 from .supply import Supply, count_needed, find_fresh_view, find_lost_zones, list_staying
 
@@ -42,7 +42,9 @@
     return [_move(state, machine, standby) for machine in choose_for_standby(state, candidates)]
 
 
-def _rank(state: FleetOwnerState, share: Share, shortfall: dict[Share, int]) -> tuple[bool, int]:
+def _rank(
+    state: FleetOwnerState, share: PoolShare, shortfall: dict[PoolShare, int]
+) -> tuple[bool, int]:
     """Rank shares for machines; those whose long-running tasks fit on no machine come first."""
     return (state.views[share].load.lacking > 0, shortfall[share])
 
@@ -73,7 +75,9 @@
     return intents
 
 
-def _is_need_met(state: FleetOwnerState, share: Share, need: Need, planned: list[Intent]) -> bool:
+def _is_need_met(
+    state: FleetOwnerState, share: PoolShare, need: Need, planned: list[Intent]
+) -> bool:
     """Return whether a machine that fits a need is in a share or on its way to it.
 
     A machine with a long-running task doesn't count: the share's owner has found it too full.
@@ -110,7 +114,7 @@
     )
 
 
-def _would_join(state: FleetOwnerState, machine: Machine, share: Share) -> bool:
+def _would_join(state: FleetOwnerState, machine: Machine, share: PoolShare) -> bool:
     """Return whether a machine would join a share by a move to the share's pool."""
     return machine.pool != share.pool and state.share_of(machine.name, share.pool) == share
 
@@ -138,7 +142,7 @@
 
 
 def _list_surplus(
-    state: FleetOwnerState, share: Share, machines: list[Machine], *, recent: bool
+    state: FleetOwnerState, share: PoolShare, machines: list[Machine], *, recent: bool
 ) -> list[Machine]:
     """Return the machines beyond a share's demand, the least used first.
 
@@ -162,7 +166,7 @@
     return free[: max(0, spare)]
 
 
-def _min_machines(state: FleetOwnerState, share: Share) -> int:
+def _min_machines(state: FleetOwnerState, share: PoolShare) -> int:
     """Return how many machines a share keeps between demand peaks.
 
     They serve jobs until further machines arrive, and cover failures, maintenance and times
--- a/heatherkeel/pooling/reducer.py
+++ b/heatherkeel/pooling/reducer.py
@@ -19,11 +19,11 @@
     OrderAnswered,
     OrderMachine,
     PlanDue,
+    PoolShare,
+    PoolShareView,
     PoolsMeasured,
     Purpose,
     SaveWave,
-    Share,
-    ShareView,
     WaveProgress,
 )
 from .moves import plan_moves
@@ -88,10 +88,10 @@
 def record_loads(state: FleetOwnerState, event: PoolsMeasured) -> list[FleetEffect]:
     """Record the loads of one partition's shares."""
     for load in event.loads:
-        share = Share(pool=load.service, partition=event.partition)
+        share = PoolShare(pool=load.service, partition=event.partition)
         view = state.views.get(share)
         if view is None:
-            view = state.views[share] = ShareView(load=load, received_ms=state.now_ms)
+            view = state.views[share] = PoolShareView(load=load, received_ms=state.now_ms)
         view.load = load
         view.received_ms = state.now_ms
         record_peak(state, share)
--- a/heatherkeel/pooling/standby.py
+++ b/heatherkeel/pooling/standby.py
@@ -5,7 +5,7 @@
 from heatherkeel.platform.machines import Machine
 
 from .const import MAX_SURPLUS_GAP_MS, STANDBY_DELAY_MS
-from .models import FleetOwnerState, Intent, Purpose, ShareView
+from .models import FleetOwnerState, Intent, PoolShareView, Purpose
 
 
 def choose_for_standby(state: FleetOwnerState, candidates: list[Machine]) -> list[Machine]:
@@ -43,7 +43,7 @@
     return intent.purpose is Purpose.MOVE and state.is_standby(intent.pool)
 
 
-def _min_surplus(state: FleetOwnerState, view: ShareView, count: int) -> int:
+def _min_surplus(state: FleetOwnerState, view: PoolShareView, count: int) -> int:
     """Return the lowest surplus of a share during the standby delay.
 
     Only the number is tracked, since the least used machines change with each measurement.
--- a/heatherkeel/pooling/supply.py
+++ b/heatherkeel/pooling/supply.py
@@ -21,15 +21,15 @@
     PEAK_RETENTION_MS,
     TREND_WINDOW_MS,
 )
-from .models import FleetOwnerState, Purpose, Share, ShareView
+from .models import FleetOwnerState, PoolShare, PoolShareView, Purpose
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Supply:
     """The machines of each share, and how many more the shares with a shortfall need."""
 
-    members: dict[Share, list[Machine]]
-    shortfall: dict[Share, int]
+    members: dict[PoolShare, list[Machine]]
+    shortfall: dict[PoolShare, int]
 
 
 def measure_supply(state: FleetOwnerState) -> Supply:
@@ -39,7 +39,7 @@
     return Supply(members=members, shortfall=_find_shortfall(state, members))
 
 
-def demanded_cpu(state: FleetOwnerState, share: Share) -> float:
+def demanded_cpu(state: FleetOwnerState, share: PoolShare) -> float:
     """Return the processor that a share's jobs need, or soon will at their arrival rate."""
     wanted_cpu = state.views[share].load.wanted_cpu
     return max(
@@ -47,7 +47,7 @@
     )
 
 
-def _projected_arriving_cpu(state: FleetOwnerState, share: Share) -> float:
+def _projected_arriving_cpu(state: FleetOwnerState, share: PoolShare) -> float:
     """Return the projected arrival rate of a share when machines ordered now take tasks.
 
     Machines ordered for the current rate would be late throughout a rise.
@@ -91,7 +91,7 @@
         state.arrival_rates[pool] = [*recent, (state.now_ms, _arrival_rate_per_share(state, pool))]
 
 
-def record_peak(state: FleetOwnerState, share: Share) -> None:
+def record_peak(state: FleetOwnerState, share: PoolShare) -> None:
     """Record the recent peaks of a share's demand."""
     view = state.views[share]
     wanted = demanded_cpu(state, share)
@@ -103,9 +103,9 @@
     view.peaks.append((state.now_ms, wanted))
 
 
-def _list_members(state: FleetOwnerState) -> dict[Share, list[Machine]]:
+def _list_members(state: FleetOwnerState) -> dict[PoolShare, list[Machine]]:
     """Return the responsive machines of each share that are up and aren't to leave."""
-    members: dict[Share, list[Machine]] = {share: [] for share in state.shares()}
+    members: dict[PoolShare, list[Machine]] = {share: [] for share in state.shares()}
     for machine in list_staying(state):
         share = state.share_of(machine.name, machine.pool)
         if share in members:
@@ -114,7 +114,7 @@
 
 
 def _list_responsive(
-    state: FleetOwnerState, share: Share, machines: list[Machine]
+    state: FleetOwnerState, share: PoolShare, machines: list[Machine]
 ) -> list[Machine]:
     """Return the machines whose workers are responsive.
 
@@ -136,7 +136,7 @@
     ]
 
 
-def find_fresh_view(state: FleetOwnerState, share: Share) -> ShareView | None:
+def find_fresh_view(state: FleetOwnerState, share: PoolShare) -> PoolShareView | None:
     """Return the view of a share; None if it is too old for planning."""
     view = state.views.get(share)
     if view is None or state.now_ms - view.received_ms > LOAD_MAX_AGE_MS:
@@ -145,7 +145,7 @@
 
 
 def count_needed(
-    state: FleetOwnerState, share: Share, machines: list[Machine], *, recent: bool
+    state: FleetOwnerState, share: PoolShare, machines: list[Machine], *, recent: bool
 ) -> int | None:
     """Return how many machines a share's demand needs; None if its load is unknown.
 
@@ -175,8 +175,8 @@
 
 
 def _find_shortfall(
-    state: FleetOwnerState, members: dict[Share, list[Machine]]
-) -> dict[Share, int]:
+    state: FleetOwnerState, members: dict[PoolShare, list[Machine]]
+) -> dict[PoolShare, int]:
     """Return how many more machines each share needs, besides those on their way to it."""
     incoming = _count_incoming(state)
     shortfall = {}
@@ -190,7 +190,7 @@
     return shortfall
 
 
-def _count_incoming(state: FleetOwnerState) -> Counter[Share | None]:
+def _count_incoming(state: FleetOwnerState) -> Counter[PoolShare | None]:
     """Count the machines on their way to each share, as intended or as listed."""
     incoming = Counter(
         state.share_of(intent.machine, intent.pool)
--- a/heatherkeel/pooling/telling.py
+++ b/heatherkeel/pooling/telling.py
@@ -6,7 +6,7 @@
 from dataclasses import asdict, dataclass
 from typing import Final
 
-from .models import FleetOwnerState, Share
+from .models import FleetOwnerState, PoolShare
 from .supply import Supply, demanded_cpu
 
 _LOGGER = logging.getLogger(__name__)
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ShareStatus:
+class PoolShareStatus:
     """The state of a share as it is logged; processor in thousandths of a core."""
 
     pool: str
@@ -42,14 +42,14 @@
     _LOGGER.info("pools", extra={"event": "pools", "shares": lines})
 
 
-def _describe(state: FleetOwnerState, supply: Supply, share: Share) -> ShareStatus:
+def _describe(state: FleetOwnerState, supply: Supply, share: PoolShare) -> PoolShareStatus:
     view = state.views.get(share)
     leaving = sum(
         1
         for intent in state.intents.values()
         if state.share_of(intent.machine, intent.from_pool) == share
     )
-    return ShareStatus(
+    return PoolShareStatus(
         pool=share.pool,
         partition=share.partition,
         machines=len(supply.members[share]),
--- a/tests/pooling/fleet.py
+++ b/tests/pooling/fleet.py
@@ -18,8 +18,8 @@
     OrderAnswered,
     OrderMachine,
     PlanDue,
+    PoolShare,
     PoolsMeasured,
-    Share,
 )
 from heatherkeel.pooling.reducer import reduce_fleet
 from heatherkeel.questions.messages import Need, PoolLoad
@@ -97,7 +97,7 @@
             members = [
                 name
                 for name, at in self.pool_of.items()
-                if at == pool and self.state.share_of(name, at) == Share(pool, partition)
+                if at == pool and self.state.share_of(name, at) == PoolShare(pool, partition)
             ]
             loads.append(
                 PoolLoad(
--- a/tests/pooling/test_departed.py
+++ b/tests/pooling/test_departed.py
@@ -4,7 +4,7 @@
 
 from heatherkeel.platform.operator import Wave
 from heatherkeel.pooling.const import DEPARTED_WORKER_MS
-from heatherkeel.pooling.models import OrderMachine, Share
+from heatherkeel.pooling.models import OrderMachine, PoolShare
 
 from .fleet import Fleet
 
@@ -85,7 +85,7 @@
     assert owner is not None
     other = 1 - owner.partition
     fleet.measure(partition=other, desk=0)
-    view = fleet.state.views[Share("desk", other)]
+    view = fleet.state.views[PoolShare("desk", other)]
     view.load.workers["i-desk0"] = 0
     fleet.plan()
     assert fleet.state.leaving_workers() == {other: ["i-desk0"]}
--- a/tests/pooling/test_shares.py
+++ b/tests/pooling/test_shares.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from heatherkeel.pooling.const import PEAK_RETENTION_MS, STANDBY_DELAY_MS
-from heatherkeel.pooling.models import DirectoryRead, Share
+from heatherkeel.pooling.models import DirectoryRead, PoolShare
 
 from .fleet import CPU, Fleet
 
@@ -21,7 +21,7 @@
     ordered = fleet.plan()
     assert len(ordered) == 3
     for intent in ordered:
-        assert fleet.state.share_of(intent.machine, "desk") == Share("desk", 1)
+        assert fleet.state.share_of(intent.machine, "desk") == PoolShare("desk", 1)
 
 
 def test_share_without_a_load_neither_gains_nor_loses_machines() -> None:
@@ -31,7 +31,7 @@
         fleet.measure(partition=0, desk=0)
         intents = fleet.plan()
         for intent in intents:
-            assert fleet.state.share_of(intent.machine, "desk") == Share("desk", 0)
+            assert fleet.state.share_of(intent.machine, "desk") == PoolShare("desk", 0)
 
 
 def test_each_share_keeps_its_minimum() -> None:
@@ -45,7 +45,7 @@
         gone |= fleet.state.intents.keys()
     left = [name for name in fleet.pool_of if name not in gone]
     shares = [fleet.state.share_of(name, "desk") for name in left]
-    assert shares.count(Share("desk", 0)) == shares.count(Share("desk", 1)) == 5
+    assert shares.count(PoolShare("desk", 0)) == shares.count(PoolShare("desk", 1)) == 5
 
 
 def test_new_owner_keeps_the_initial_minimum() -> None:
