--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -28,7 +28,7 @@
 from heatherkeel.ownership.tenure import Change
 from heatherkeel.platform.settings import InstanceSettings
 from heatherkeel.platform.store import StoreClient
-from heatherkeel.pooling.keeper import FleetKeeper
+from heatherkeel.pooling.keeper import FleetOwner
 from heatherkeel.questions.answering import answer_question
 from heatherkeel.questions.links import QuestionLinks
 from heatherkeel.questions.messages import (
@@ -73,7 +73,7 @@
         self.owners: dict[int, PartitionOwner] = {}
         self.unused: dict[int, int] = {}
         """Partitions that were gained and that no service has, with their tokens."""
-        self.keeper: FleetKeeper | None = None
+        self.fleet_owner: FleetOwner | None = None
         self.links = QuestionLinks(
             bind=f"{settings.ip}:{settings.internal_ports[0]}",
             answer=lambda question: answer_question(
@@ -193,9 +193,9 @@
             owner = self.owners.pop(partition, None)
             if owner is not None:
                 owner.close()
-            if partition == fleet and self.keeper is not None:
-                self.keeper.close()
-                self.keeper = None
+            if partition == fleet and self.fleet_owner is not None:
+                self.fleet_owner.close()
+                self.fleet_owner = None
         if self.nursery is None:
             return
         for partition, token in change.gained.items():
@@ -236,7 +236,7 @@
     def _keep_fleet(self, token: int) -> None:
         assert self.nursery is not None
         self.directory.follow_workers()
-        self.keeper = FleetKeeper(
+        self.fleet_owner = FleetOwner(
             token=token,
             settings=self.settings,
             store=self.store,
@@ -246,7 +246,7 @@
             may_order=self.member.may_order,
             on_fenced=self.member.rejoin,
         )
-        self.nursery.start_soon(self.keeper.async_run)
+        self.nursery.start_soon(self.fleet_owner.async_run)
 
 
 async def async_run_instance(settings: InstanceSettings) -> None:
--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -53,7 +53,7 @@
 """Delay before writing a wave's status is retried, in seconds."""
 
 
-class FleetKeeper:
+class FleetOwner:
     """Owner of the fleet: moves and maintains machines."""
 
     def __init__(
--- a/tests/instance/test_shares.py
+++ b/tests/instance/test_shares.py
@@ -35,9 +35,9 @@
 
 def is_keeping(process: InstanceProcess) -> bool:
     """Say whether a process owns the fleet, and has planned since it has seen its machines."""
-    if process.keeper is None:
+    if process.fleet_owner is None:
         return False
-    state = process.keeper.state
+    state = process.fleet_owner.state
     if state.listed_ms is None:
         return False
     return state.now_ms - state.listed_ms >= 3 * PLAN_INTERVAL_MS
@@ -167,15 +167,15 @@
     async def async_test() -> None:
         async with open_site(processes=1, machines=2) as site:
             first = site.processes[0]
-            keeper = first.keeper
-            assert keeper is not None
+            fleet_owner = first.fleet_owner
+            assert fleet_owner is not None
             record = b'{"shares": 7}'
-            site.platform.log.put(WORK_TOPIC, LAYOUT_KEY, record, partition=keeper.partition)
+            site.platform.log.put(WORK_TOPIC, LAYOUT_KEY, record, partition=fleet_owner.partition)
             site.kill(first)
             second = await site.async_add_process(is_ready=False)
             await site.async_wait(lambda: is_keeping(second))
             assert await site.async_submit(second, JOBS[0], "work 10") == 503
-            stored = site.platform.log.newest(WORK_TOPIC, keeper.partition)[LAYOUT_KEY][1]
+            stored = site.platform.log.newest(WORK_TOPIC, fleet_owner.partition)[LAYOUT_KEY][1]
             assert stored == record
 
     trio.run(async_test)
@@ -194,8 +194,8 @@
             layout = site.processes[0].directory.state.layout
             assert set(restored_owners(site)) == set(layout.all_partitions()) == {0}
             idle = next(process for process in site.processes if not process.owners)
-            await site.async_wait(lambda: bool(idle.unused) or idle.keeper is not None)
-            assert idle.directory.follows_workers == (idle.keeper is not None)
+            await site.async_wait(lambda: bool(idle.unused) or idle.fleet_owner is not None)
+            assert idle.directory.follows_workers == (idle.fleet_owner is not None)
             further = QUEUE | {"name": "books", "pathPrefix": "/b/", "service": "desk"}
             site.platform.configure(2, [QUEUE, further], ["portal", "desk", "spare"])
             await site.async_wait(lambda: set(restored_owners(site)) == {0, 1})
--- a/tests/pooling/test_orders_record.py
+++ b/tests/pooling/test_orders_record.py
@@ -8,20 +8,20 @@
 import trio
 
 from heatherkeel.ownership.const import WORK_TOPIC
-from heatherkeel.pooling.keeper import FleetKeeper
+from heatherkeel.pooling.keeper import FleetOwner
 from heatherkeel.pooling.ordering import ORDERS_KEY, ORDERS_TOPIC
 from tests.instance.site import STEP, Site, open_site
 
 JOB = "00000000000000c1"
 
 
-def find_keeper(site: Site) -> FleetKeeper | None:
+def find_fleet_owner(site: Site) -> FleetOwner | None:
     """Return the fleet's owner once it has started, ignoring killed processes."""
     for process, scope in zip(site.processes, site.scopes, strict=True):
         if scope.cancel_called:
             continue
-        if process.keeper is not None and process.keeper.nursery is not None:
-            return process.keeper
+        if process.fleet_owner is not None and process.fleet_owner.nursery is not None:
+            return process.fleet_owner
     return None
 
 
@@ -33,11 +33,11 @@
 
     async def async_test() -> None:
         async with open_site(processes=1, machines=2, spares=2) as site:
-            await site.async_wait(lambda: find_keeper(site) is not None)
-            keeper = find_keeper(site)
-            assert keeper is not None
+            await site.async_wait(lambda: find_fleet_owner(site) is not None)
+            fleet_owner = find_fleet_owner(site)
+            assert fleet_owner is not None
             site.platform.faults.down_partitions |= {
-                (WORK_TOPIC, keeper.partition),
+                (WORK_TOPIC, fleet_owner.partition),
                 (ORDERS_TOPIC, 0),
             }
             wide = STEP | {"count": 40, "cpu": 2000}
@@ -67,10 +67,10 @@
             site.platform.log.put(ORDERS_TOPIC, ORDERS_KEY, record)
             site.kill(site.processes[0])
             await site.async_add_process()
-            await site.async_wait(lambda: find_keeper(site) is not None)
-            keeper = find_keeper(site)
-            assert keeper is not None
-            blocked = keeper.state.blocked_until_ms
+            await site.async_wait(lambda: find_fleet_owner(site) is not None)
+            fleet_owner = find_fleet_owner(site)
+            assert fleet_owner is not None
+            blocked = fleet_owner.state.blocked_until_ms
             assert blocked["m0"] > blocked["m1"]
 
     trio.run(async_test)
