--- a/heatherkeel/pooling/const.py
+++ b/heatherkeel/pooling/const.py
@@ -18,7 +18,7 @@
 MIN_ARRIVALS: Final = 5
 """Minimum number of recent jobs for a pool's arrival rate to count; with fewer, one large job would
 look like a surge."""
-FULL_SHARE: Final = 0.85
+TARGET_UTILIZATION: Final = 0.85
 """Fraction of a pool's processor or memory that may be in demand before it gets another machine."""
 ARRIVAL_TARGET_UTILIZATION: Final = 1.15
 """Fraction of a pool's processor that may arrive before it gets another machine. It is above one
--- a/heatherkeel/pooling/supply.py
+++ b/heatherkeel/pooling/supply.py
@@ -10,7 +10,6 @@
 
 from .const import (
     ARRIVAL_TARGET_UTILIZATION,
-    FULL_SHARE,
     LEAD_TIME_MS,
     LOAD_MAX_AGE_MS,
     LOST_ZONE_FRACTION,
@@ -19,6 +18,7 @@
     MIN_LOST_WORKERS,
     MIN_RESPONSIVE_FRACTION,
     PEAK_RETENTION_MS,
+    TARGET_UTILIZATION,
     TREND_WINDOW_MS,
 )
 from .models import FleetOwnerState, PoolShare, PoolShareView, Purpose
@@ -43,7 +43,8 @@
     """Return the processor that a share's jobs need, or soon will at their arrival rate."""
     wanted_cpu = state.views[share].load.wanted_cpu
     return max(
-        wanted_cpu, _projected_arriving_cpu(state, share) * FULL_SHARE / ARRIVAL_TARGET_UTILIZATION
+        wanted_cpu,
+        _projected_arriving_cpu(state, share) * TARGET_UTILIZATION / ARRIVAL_TARGET_UTILIZATION,
     )
 
 
@@ -171,7 +172,7 @@
 def _machines_for(wanted: float, sizes: list[int]) -> int:
     """Return how many machines of the mean size are needed at the target utilization."""
     size = sum(sizes) / len(sizes) if sizes else 0
-    return ceil(wanted / (FULL_SHARE * size)) if size else 0
+    return ceil(wanted / (TARGET_UTILIZATION * size)) if size else 0
 
 
 def _find_shortfall(
--- a/tests/ownership/test_share_balance.py
+++ b/tests/ownership/test_share_balance.py
@@ -14,7 +14,7 @@
 
 from heatherkeel.ownership import partitions
 from heatherkeel.ownership.partitions import Layout, extend_layout
-from heatherkeel.pooling.const import FULL_SHARE
+from heatherkeel.pooling.const import TARGET_UTILIZATION
 
 SERVICES = ("desk", "dispatch", "portal", "store")
 MACHINES = 276
@@ -24,7 +24,7 @@
 """How long a job runs, in seconds: so many seconds of arrivals run at the same time."""
 SLACK_FACTOR = 1.6
 """How much longer than its own work a job may take by its objective."""
-MOST_OVER_MEAN = SLACK_FACTOR * FULL_SHARE
+MOST_OVER_MEAN = SLACK_FACTOR * TARGET_UTILIZATION
 """What the fullest share may get of the mean. Pools get machines for the mean, filled to a share,
 and work that is so much more than that takes so much longer."""
 
