--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -243,7 +243,7 @@
             directory=self.directory,
             holders=self.holders,
             links=self.links,
-            may_order=self.member.may_order,
+            can_order=self.member.may_order,
             on_fenced=self.member.rejoin,
         )
         self.nursery.start_soon(self.fleet_owner.async_run)
--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -65,7 +65,7 @@
         directory: Directory,
         holders: Holders,
         links: QuestionLinks,
-        may_order: Callable[[], bool],
+        can_order: Callable[[], bool],
         on_fenced: Callable[[], None],
     ) -> None:
         self.settings = settings
@@ -73,7 +73,7 @@
         self.directory = directory
         self.holders = holders
         self.links = links
-        self.may_order = may_order
+        self.can_order = can_order
         self.partition = fleet_partition(settings.store.partitions)
         self.state = FleetOwnerState(token=token)
         self.journal = Journal(
@@ -89,7 +89,7 @@
             store=store,
             journal=self.journal,
             client=self.client,
-            may_order=may_order,
+            can_order=can_order,
             on_answered=self._handle,
         )
         self.scope = trio.CancelScope()
@@ -172,7 +172,7 @@
             self._extend_layout()
             self._read_directory()
             await self._async_measure()
-            self._handle(PlanDue(now_ms=monotonic_ms(), may_order=self.may_order()))
+            self._handle(PlanDue(now_ms=monotonic_ms(), can_order=self.can_order()))
             await trio.sleep(PLAN_INTERVAL_MS / 1000)
 
     def _extend_layout(self) -> None:
--- a/heatherkeel/pooling/models.py
+++ b/heatherkeel/pooling/models.py
@@ -227,7 +227,7 @@
 class PlanDue(FleetEvent):
     """A planning round is due."""
 
-    may_order: bool = True
+    can_order: bool = True
     """Whether orders may be sent; if not, another process may own the fleet by now."""
 
 
--- a/heatherkeel/pooling/ordering.py
+++ b/heatherkeel/pooling/ordering.py
@@ -40,7 +40,7 @@
         store: StoreClient,
         journal: Journal,
         client: MachineClient,
-        may_order: Callable[[], bool],
+        can_order: Callable[[], bool],
         on_answered: Callable[[OrderAnswered], None],
     ) -> None:
         self.token = token
@@ -48,7 +48,7 @@
         self.store = store
         self.journal = journal
         self.client = client
-        self.may_order = may_order
+        self.can_order = can_order
         self.on_answered = on_answered
         self.fallback_partition = 0
         """Partition of the orders topic in which the last order was stored."""
@@ -137,7 +137,7 @@
         return msgspec.json.encode(self.ordered_ms)
 
     async def _async_send(self, intent: Intent, decided_ms: int) -> None:
-        if not self.may_order() or monotonic_ms() - decided_ms > MAX_ORDER_DELAY_MS:
+        if not self.can_order() or monotonic_ms() - decided_ms > MAX_ORDER_DELAY_MS:
             intent.ordered_ms = None
             return
         ordered: Result[None, CallError]
--- a/heatherkeel/pooling/reducer.py
+++ b/heatherkeel/pooling/reducer.py
@@ -184,7 +184,7 @@
 @handles(PlanDue)
 def plan(state: FleetOwnerState, event: PlanDue) -> list[FleetEffect]:
     """Plan moves and maintenance, and order the machines that are empty."""
-    if not event.may_order:
+    if not event.can_order:
         _cancel_unsent(state)
         return []
     if state.listed_ms is None:
--- a/tests/pooling/fleet.py
+++ b/tests/pooling/fleet.py
@@ -121,10 +121,10 @@
             )
         self.reduce(PoolsMeasured(now_ms=self.now_ms, partition=partition, loads=loads))
 
-    def plan(self, *, after_ms: int = 100, may_order: bool = True) -> list[Intent]:
+    def plan(self, *, after_ms: int = 100, can_order: bool = True) -> list[Intent]:
         """Run a planning round; return the intents that are ordered."""
         self.now_ms += after_ms
-        effects = self.reduce(PlanDue(now_ms=self.now_ms, may_order=may_order))
+        effects = self.reduce(PlanDue(now_ms=self.now_ms, can_order=can_order))
         return [effect.intent for effect in effects if isinstance(effect, OrderMachine)]
 
     def answer(self, machine: str, error: CallError | None = None) -> None:
--- a/tests/pooling/test_plans.py
+++ b/tests/pooling/test_plans.py
@@ -152,7 +152,7 @@
     fleet.measure(desk=5 * CPU, portal=0)
     fleet.plan()
     assert fleet.state.intents
-    fleet.plan(may_order=False)
+    fleet.plan(can_order=False)
     assert not fleet.state.intents
 
 
