--- a/heatherkeel/pools/__init__.py
+++ b/heatherkeel/pools/__init__.py
@@ -1,1 +1,1 @@
-"""Instances, the one pool that each belongs to, and moves between pools."""
+"""Instances, their pools, and their observed health."""
--- a/heatherkeel/pools/const.py
+++ b/heatherkeel/pools/const.py
@@ -1,11 +1,11 @@
-"""Constants of pools."""
+"""Limits of observing instances."""
 
 from __future__ import annotations
 
 from typing import Final
 
 OBSERVATION_LIFETIME_MS: Final = 60 * 1000
-"""How long one observation counts, in log milliseconds; observers repeat theirs sooner."""
+"""Time for which an observation counts, in log milliseconds; observers repeat theirs sooner."""
 
 OBSERVERS_NEEDED: Final = 2
-"""Entry instances that must agree before an instance is held as failed, or as healthy again."""
+"""Number of entry instances that must agree for an instance to become failed or healthy again."""
--- a/heatherkeel/pools/health.py
+++ b/heatherkeel/pools/health.py
@@ -1,4 +1,4 @@
-"""Decides which instances have failed, from what several observers say."""
+"""Decides from the observations of several observers which instances have failed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .models import Health, Instance, InstanceObserved, InstanceStatus, Observation, Source
 from .reducer import accept_change
 
-STATUS_OF: dict[Health, InstanceStatus] = {
+STATUS_BY_HEALTH: dict[Health, InstanceStatus] = {
     Health.HEALTHY: InstanceStatus.SERVING,
     Health.FAILED: InstanceStatus.FAILED,
 }
@@ -23,24 +23,26 @@
 def observe_instance(
     state: FleetState, meta: RecordMeta, body: InstanceObserved
 ) -> Result[Accepted, Rejected]:
-    """Take an observation; the status changes when the evidence is enough."""
+    """Record an observation; change the instance's status if the evidence is sufficient."""
     instance = state.pools.instances.get(body.instance)
     if instance is None:
         return Err(Rejected(reason=RejectReason.NOT_FOUND, detail=body.instance))
     if body.observer not in state.membership.entries:
         return Err(Rejected(reason=RejectReason.NOT_FOUND, detail=body.observer))
-    if body.instance in state.waves.drains or instance.status not in STATUS_OF.values():
+    if body.instance in state.waves.drains or instance.status not in STATUS_BY_HEALTH.values():
         detail = f"{body.instance} is in a drain"
         return Err(Rejected(reason=RejectReason.WRONG_STATE, detail=detail))
-    # A stop that the platform carries out late would cut the requests of an instance that was
-    # taken back because it still answered. Only another boot proves that the stop is over.
+    # A stop that the platform carries out late would interrupt the requests of an instance that
+    # serves again because it still responds. Only another boot proves that the stop is over.
     if body.health is Health.HEALTHY and instance.stopped_boot_id:
         detail = f"the stop of boot {instance.stopped_boot_id} may still come"
         return Err(Rejected(reason=RejectReason.WRONG_STATE, detail=detail))
-    _remember(instance, body, now_ms=meta.now_ms)
-    if instance.status is STATUS_OF[body.health] or not _is_enough(state, instance, body):
+    _record_observation(instance, body, now_ms=meta.now_ms)
+    if instance.status is STATUS_BY_HEALTH[body.health] or not _is_evidence_sufficient(
+        state, instance, body
+    ):
         return Ok(Accepted(version=instance.version))
-    set_status(instance, STATUS_OF[body.health])
+    set_status(instance, STATUS_BY_HEALTH[body.health])
     if body.health is Health.FAILED:
         instance.failure = f"seen to fail by {body.source.value}"
     finished = finish_wave(state, meta.offset, instance.pool)
@@ -48,15 +50,15 @@
 
 
 def set_status(instance: Instance, status: InstanceStatus) -> None:
-    """Change the status under a new version; what was observed before counts no more."""
+    """Change the status under a new version, and drop earlier observations."""
     instance.status = status
     instance.version += 1
     instance.observations = {}
     instance.failure = ""
 
 
-def _remember(instance: Instance, body: InstanceObserved, *, now_ms: int) -> None:
-    """Keep the observer's newest word and drop what is too old to count."""
+def _record_observation(instance: Instance, body: InstanceObserved, *, now_ms: int) -> None:
+    """Record an observer's latest observation, and drop expired ones."""
     instance.observations[body.observer] = Observation(health=body.health, at_ms=now_ms)
     oldest_ms = now_ms - OBSERVATION_LIFETIME_MS
     instance.observations = {
@@ -66,25 +68,24 @@
     }
 
 
-def _is_enough(state: FleetState, instance: Instance, body: InstanceObserved) -> bool:
-    """Tell whether the platform says it, or enough observers that can really see the instance.
+def _is_evidence_sufficient(state: FleetState, instance: Instance, body: InstanceObserved) -> bool:
+    """Return whether the platform or enough observers report the instance's new health.
 
-    An entry instance that is cut off from another availability zone sees all of its targets
-    fail, and so do its neighbours. Taking their word alone would stop every wave there for
-    nothing, so one witness has to stand in the instance's own availability zone, if one can.
+    Entry instances that are cut off from an availability zone see all targets there fail. So at
+    least one observer must be in the instance's own zone, if that has a live entry instance.
     """
     if body.source is Source.PLATFORM:
         return True
-    witnesses = [
+    observers = [
         observer
         for observer, observation in instance.observations.items()
         if observation.health is body.health
     ]
-    if len(witnesses) < OBSERVERS_NEEDED:
+    if len(observers) < OBSERVERS_NEEDED:
         return False
     local = {
         entry_id
         for entry_id, entry in state.membership.entries.items()
         if entry.zone == instance.zone and entry.lease_until_ms > state.now_ms
     }
-    return not local or not local.isdisjoint(witnesses)
+    return not local or not local.isdisjoint(observers)
--- a/heatherkeel/pools/models.py
+++ b/heatherkeel/pools/models.py
@@ -1,4 +1,4 @@
-"""Records about instances and pools, and the subject's folded state."""
+"""Records about instances and pools, and their state in the fold."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 
 
 class InstanceStatus(StrEnum):
-    """What an instance may be used for."""
+    """Status of an instance."""
 
     SERVING = "serving"
     DRAINING = "draining"
     QUIESCED = "quiesced"
-    """Every entry instance that could route to it has acknowledged: it may be stopped."""
+    """All entry instances that could route to it have acknowledged the drain; it may be stopped."""
     STOPPED = "stopped"
     FAILED = "failed"
 
 
 class Health(StrEnum):
-    """What an observer says of an instance."""
+    """Health of an instance as seen by an observer."""
 
     HEALTHY = "healthy"
     FAILED = "failed"
 
 
 class Source(StrEnum):
-    """Where an observation comes from: an entry instance's own requests, or the platform."""
+    """Source of an observation: an entry instance's own requests, or the platform."""
 
     PEER = "peer"
     PLATFORM = "platform"
 
 
 class InstanceAdmit(RecordBody, frozen=True, kw_only=True):
-    """The platform's list shows an instance that the fold doesn't know.
+    """The platform's list shows an unknown instance.
 
     `boot_id` changes with every start of the instance; memory in MiB.
     """
@@ -56,13 +56,13 @@
     memory_mib: Annotated[int, Meta(ge=0)] = 0
     accelerators: Count = 0
     pool: str = ""
-    """The pool that the platform made it for; empty lets the fold choose."""
+    """The pool that the platform created it for; if empty, the fold chooses one."""
 
 
 class InstanceObserved(RecordBody, frozen=True, kw_only=True):
-    """An observer says that an instance answers again, or no longer.
+    """An observer reports the health of an instance.
 
-    `observer` is the id of an entry instance; with source `platform`, of the one that read the
+    `observer` is the id of an entry instance; for source `platform`, of the one that read the
     platform's list.
     """
 
@@ -73,7 +73,7 @@
 
 
 class InstanceGone(RecordBody, frozen=True, kw_only=True):
-    """The platform positively says that an instance is terminated for good."""
+    """The platform reports that an instance is permanently terminated."""
 
     instance: InstanceId
     boot_id: str
@@ -81,7 +81,7 @@
 
 @dataclass(kw_only=True)
 class Observation:
-    """The newest word of one observer; time in log milliseconds."""
+    """The latest observation of one observer; time in log milliseconds."""
 
     health: Health
     at_ms: int
@@ -89,9 +89,9 @@
 
 @dataclass(kw_only=True)
 class Instance:
-    """A worker, in exactly one pool at every offset; `pool` is empty while it is spare.
+    """A worker in exactly one pool; `pool` is empty while it is spare.
 
-    `version` rises with every change, so that a stale coordinator's record is refused.
+    `version` rises with every change, so that records of a stale coordinator are rejected.
     Times in log milliseconds.
     """
 
@@ -107,23 +107,23 @@
     version: int = 1
     maintained_ms: int = 0
     maintained_offset: int = -1
-    """Orders maintenance against the start of a wave, which may fall into the same millisecond."""
+    """Orders maintenance and the start of a wave within the same millisecond."""
     failed_repairs: int = 0
-    """Repairs in a row that it did not come back from."""
+    """Number of consecutive failed repairs."""
     observations: dict[str, Observation] = field(default_factory=dict)
-    """Fresh observations by observer; they are dropped when the status changes."""
+    """Unexpired observations by observer; a change of status drops them."""
     stopped_boot_id: str = ""
-    """A boot whose stop was issued and that was not seen to end: the stop may still come."""
+    """Boot for which a stop was issued but not confirmed; the stop may still happen."""
     failure: str = ""
-    """Why it is FAILED, in words for operators."""
+    """Reason for the status FAILED, for operators."""
 
 
 @dataclass(kw_only=True)
 class PoolsState:
     """Instances by id.
 
-    `version_floor` is at least the last version of every instance that is gone: an id that
-    comes again goes on above it, so that no version is ever used twice.
+    `version_floor` is at least the last version of every removed instance. An id that is admitted
+    again starts above it, so that no version is used twice.
     """
 
     instances: dict[str, Instance] = field(default_factory=dict)
--- a/heatherkeel/pools/reducer.py
+++ b/heatherkeel/pools/reducer.py
@@ -1,4 +1,4 @@
-"""Decides which instances there are, and which one pool each belongs to."""
+"""Admits and removes instances, and assigns each to a pool."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def admit_instance(
     state: FleetState, meta: RecordMeta, body: InstanceAdmit
 ) -> Result[Accepted, Rejected]:
-    """Take in a new instance; several entry instances may report it, the first one wins."""
+    """Admit a new instance; if several entry instances report it, the first report counts."""
     if body.instance in state.pools.instances:
         return Err(Rejected(reason=RejectReason.ALREADY_EXISTS, detail=body.instance))
     state.pools.instances[body.instance] = Instance(
@@ -25,7 +25,7 @@
         rack=body.rack,
         address=body.address,
         boot_id=body.boot_id,
-        pool=body.pool or neediest_pool(state),
+        pool=body.pool or pool_lacking_most(state),
         cpus=body.cpus,
         memory_mib=body.memory_mib,
         accelerators=body.accelerators,
@@ -37,10 +37,10 @@
 
 
 @handles("pools.gone", InstanceGone)
-def forget_instance(
+def remove_instance(
     state: FleetState, meta: RecordMeta, body: InstanceGone
 ) -> Result[Accepted, Rejected]:
-    """Forget an instance that the platform has terminated, and any drain of it."""
+    """Remove an instance that the platform has terminated, and its drain."""
     instance = state.pools.instances.get(body.instance)
     if instance is None or instance.boot_id != body.boot_id:
         return Err(Rejected(reason=RejectReason.NOT_FOUND, detail=body.instance))
@@ -55,14 +55,14 @@
 def accept_change(
     state: FleetState, meta: RecordMeta, instance_id: str, *effects: Effect
 ) -> Accepted:
-    """Say that an instance changed; `effects` follow the change."""
+    """Accept a record with the effect of a changed instance, followed by `effects`."""
     changed = InstanceChanged(instance=instance_id, offset=meta.offset)
     version = state.pools.instances[instance_id].version
     return Accepted(version=version, effects=(changed, *effects))
 
 
-def neediest_pool(state: FleetState) -> str:
-    """Return the pool that lacks most instances, by name among equals; empty if none lacks any."""
+def pool_lacking_most(state: FleetState) -> str:
+    """Return the pool that lacks most instances, the first by name; empty if none lacks any."""
     members: dict[str, int] = {}
     for instance in state.pools.instances.values():
         members[instance.pool] = members.get(instance.pool, 0) + 1
