--- a/heatherkeel/pooling/supply.py
+++ b/heatherkeel/pooling/supply.py
@@ -49,7 +49,7 @@
 
 
 def _projected_arriving_cpu(state: FleetOwnerState, share: PoolShare) -> float:
-    """Return the projected arrival rate of a share when machines ordered now take tasks.
+    """Return a share's arrival rate projected to the time when machines ordered now take tasks.
 
     Machines ordered for the current rate would be late throughout a rise.
     """
--- a/tests/pooling/test_plans.py
+++ b/tests/pooling/test_plans.py
@@ -58,8 +58,8 @@
     for _ in range((PEAK_RETENTION_MS + STANDBY_DELAY_MS) // 100 + 2):
         fleet.measure(desk=0)
         fleet.plan()
-    parked = [intent for intent in fleet.state.intents.values() if intent.pool == "spare"]
-    assert len(parked) == 3
+    surplus = [intent for intent in fleet.state.intents.values() if intent.pool == "spare"]
+    assert len(surplus) == 3
 
 
 def test_pool_with_unknown_load_neither_gains_nor_loses_machines() -> None:
--- a/tests/pooling/test_standby.py
+++ b/tests/pooling/test_standby.py
@@ -33,8 +33,8 @@
         fleet.empty = set(fleet.pool_of)
         fleet.measure(desk=0, portal=0)
         fleet.plan(after_ms=LOOK_MS)
-    parked = {name for name, i in fleet.state.intents.items() if i.ordered_ms is not None}
-    assert parked
+    ordered = {name for name, i in fleet.state.intents.items() if i.ordered_ms is not None}
+    assert ordered
     fleet.measure(desk=0, portal=16 * CPU)
     fleet.plan(after_ms=LOOK_MS)
-    assert all(fleet.state.intents[name].pool == "spare" for name in parked)
+    assert all(fleet.state.intents[name].pool == "spare" for name in ordered)
