--- a/heatherkeel/pooling/keeper.py
+++ b/heatherkeel/pooling/keeper.py
@@ -1,4 +1,4 @@
-"""Runs the fleet's partition for as long as this process owns it."""
+"""Runs the fleet's partition while this process owns it."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from heatherkeel.questions.messages import PoolsAnswer, PoolsQuestion
 
 from .const import (
-    LAYOUT_WAIT_MS,
+    LAYOUT_TIMEOUT_MS,
     LIST_INTERVAL_MS,
     PLAN_INTERVAL_MS,
     STATUS_PREFIX,
@@ -35,7 +35,7 @@
     DirectoryRead,
     FleetEffect,
     FleetEvent,
-    FleetState,
+    FleetOwnerState,
     MachinesListed,
     OrderMachine,
     PlanDue,
@@ -50,11 +50,11 @@
 _LOGGER = logging.getLogger(__name__)
 
 STATUS_RETRY_S = 0.5
-"""Pause before a wave's status is written again, in seconds."""
+"""Delay before writing a wave's status is retried, in seconds."""
 
 
-class FleetKeeper:
-    """Moves and maintains machines."""
+class FleetOwner:
+    """Owner of the fleet: moves and maintains machines."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         directory: Directory,
         holders: HolderCache,
         links: QuestionLinks,
-        may_order: Callable[[], bool],
+        can_order: Callable[[], bool],
         on_fenced: Callable[[], None],
     ) -> None:
         self.settings = settings
@@ -73,14 +73,14 @@
         self.directory = directory
         self.holders = holders
         self.links = links
-        self.may_order = may_order
+        self.can_order = can_order
         self.partition = fleet_partition(settings.store.partitions)
-        self.state = FleetState(token=token)
+        self.state = FleetOwnerState(token=token)
         self.journal = Journal(
             store=store, partition=self.partition, token=token, on_fenced=on_fenced
         )
         self.layout: Layout | None = None
-        """As it is stored, or about to be; None before it is read, and where it can't be."""
+        """The layout as it is, or will be, stored; None if it wasn't or can't be read."""
         self.began_ms = monotonic_ms()
         self.client = MachineClient(address=settings.machines.address, holder=settings.instance)
         self.orders = MachineOrders(
@@ -89,14 +89,14 @@
             store=store,
             journal=self.journal,
             client=self.client,
-            may_order=may_order,
-            on_answered=self._take,
+            can_order=can_order,
+            on_answered=self._handle,
         )
         self.scope = trio.CancelScope()
         self.nursery: trio.Nursery | None = None
 
     async def async_run(self) -> None:
-        """Keep the fleet until `close`."""
+        """Run until `close` is called."""
         with self.scope:
             await self._async_restore()
             async with trio.open_nursery() as nursery:
@@ -109,7 +109,7 @@
             await self.client.close()
 
     def close(self) -> None:
-        """Give the fleet up: no order leaves after this."""
+        """Give up the fleet; no order is sent after this."""
         self.scope.cancel()
 
     async def _async_restore(self) -> None:
@@ -123,7 +123,7 @@
         lease_ms = self.settings.bounds.machine_lease_ms
         blocked = await self.orders.async_restore(own, lease_ms=lease_ms)
         self.state.blocked_until_ms.update(blocked)
-        self._take_directory()
+        self._read_directory()
         for record in own:
             if record.key.startswith(STATUS_PREFIX) and record.value:
                 self._restore_wave(record)
@@ -141,9 +141,9 @@
         if progress is not None:
             restore_wave(progress, record.value, now_ms=monotonic_ms(), wall_ms=wall_ms())
 
-    def _take_directory(self) -> None:
+    def _read_directory(self) -> None:
         known = self.directory.state
-        self._take(
+        self._handle(
             DirectoryRead(
                 now_ms=monotonic_ms(),
                 services=known.services,
@@ -158,11 +158,11 @@
             listed = await self.client.async_list()
             if isinstance(listed, Err):
                 _LOGGER.warning(
-                    "machines can't be listed; the last list is used",
+                    "machines can't be listed, using the last list",
                     extra={"event": "machines_unread", "detail": listed.err_value.detail},
                 )
             else:
-                self._take(
+                self._handle(
                     MachinesListed(now_ms=monotonic_ms(), machines=listed.ok_value, sent_ms=sent_ms)
                 )
             await trio.sleep(LIST_INTERVAL_MS / 1000)
@@ -170,13 +170,13 @@
     async def _async_plan(self) -> None:
         while True:
             self._extend_layout()
-            self._take_directory()
+            self._read_directory()
             await self._async_measure()
-            self._take(PlanDue(now_ms=monotonic_ms(), may_order=self.may_order()))
+            self._handle(PlanDue(now_ms=monotonic_ms(), can_order=self.can_order()))
             await trio.sleep(PLAN_INTERVAL_MS / 1000)
 
     def _extend_layout(self) -> None:
-        """Lay out services that are new; others hear of it once it is stored."""
+        """Extend the layout to new services; it is published once it is stored."""
         services = sorted(self.directory.state.serving())
         pools = self._list_pools()
         if self.layout is None or not services or not pools:
@@ -194,13 +194,13 @@
         self.journal.when_stored(lambda: self.directory.apply_layout(layout))
 
     def _list_pools(self) -> dict[str, list[str]]:
-        """Return the machines of each pool in the order of racks; none while they aren't known.
+        """Return the machines of each pool in the order of racks; none if they are unknown.
 
-        What workers say of themselves leaves out the standby machines, so it is used only where
-        the list stays away: jobs can't be taken in before services are laid out.
+        Worker entries leave out the standby machines and are only used if the list stays
+        unavailable, since jobs aren't accepted before services are laid out.
         """
         listed = [(m.pool, m.zone, m.rack(), m.name) for m in self.state.machines.values()]
-        if not listed and monotonic_ms() - self.began_ms >= LAYOUT_WAIT_MS:
+        if not listed and monotonic_ms() - self.began_ms >= LAYOUT_TIMEOUT_MS:
             entries = self.directory.state.workers.values()
             listed = [(e.service, e.zone, "", e.machine) for e in entries if e.machine]
         pools: dict[str, list[str]] = {}
@@ -209,7 +209,7 @@
         return pools
 
     async def _async_measure(self) -> None:
-        """Ask all pools' owners how full they are, and tell them which workers to empty."""
+        """Request the load of all shares from their owners, and report the workers to empty."""
         due = self.state.due_workers()
         leaving = self.state.leaving_workers()
         async with trio.open_nursery() as nursery:
@@ -226,37 +226,37 @@
             return
         answer = await self.links.async_ask(address, question)
         if isinstance(answer, PoolsAnswer):
-            self._take(
+            self._handle(
                 PoolsMeasured(now_ms=monotonic_ms(), partition=partition, loads=answer.pools)
             )
         else:
             await self.holders.async_find(partition, failed_address=address)
 
-    def _take(self, event: FleetEvent) -> None:
+    def _handle(self, event: FleetEvent) -> None:
         for effect in reduce_fleet(self.state, event):
             self._perform(effect)
 
     def _perform(self, effect: FleetEffect) -> None:
         match effect:
             case OrderMachine():
-                self.orders.give(effect.intent)
+                self.orders.send(effect.intent)
             case SaveWave():
                 self._save_wave(effect.progress)
 
     def _save_wave(self, progress: WaveProgress) -> None:
-        """Store what was begun; the operator hears that a wave is complete after that."""
+        """Store a wave's progress, and then report its status to the operator."""
         key = f"{STATUS_PREFIX}{progress.wave.number}"
         self.journal.put(
             key, lambda: encode_wave(progress, now_ms=monotonic_ms(), wall_ms=wall_ms())
         )
-        self.journal.when_stored(lambda: self._tell_wave(key, progress))
+        self.journal.when_stored(lambda: self._report_wave(key, progress))
 
-    def _tell_wave(self, key: str, progress: WaveProgress) -> None:
+    def _report_wave(self, key: str, progress: WaveProgress) -> None:
         assert self.nursery is not None
         if progress.is_complete or not progress.begun:
-            self.nursery.start_soon(self._async_tell_wave, key, progress.is_complete)
+            self.nursery.start_soon(self._async_report_wave, key, progress.is_complete)
 
-    async def _async_tell_wave(self, key: str, is_complete: bool) -> None:
+    async def _async_report_wave(self, key: str, is_complete: bool) -> None:
         record = KeyedRecord(key=key, value=encode_wave_status(is_complete=is_complete))
         while True:
             written = await self.store.async_append(STATUS_TOPIC, 0, [record])
--- a/heatherkeel/pooling/ordering.py
+++ b/heatherkeel/pooling/ordering.py
@@ -1,4 +1,4 @@
-"""Gives the orders for machines: each is stored before it leaves."""
+"""Stores orders for machines and sends them to the platform."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from heatherkeel.platform.machines import MachineClient
 from heatherkeel.platform.store import StoreClient
 
-from .const import CLOCK_MARGIN_MS, RECENT_ORDERS_MS, STALE_ORDER_MS
+from .const import CLOCK_SKEW_MARGIN_MS, MAX_ORDER_DELAY_MS, ORDER_RETENTION_MS
 from .models import Intent, OrderAnswered, Purpose
 
 _LOGGER = logging.getLogger(__name__)
 
 ORDERS_TOPIC: Final = "keyed.orders"
-"""Where orders are stored while the fleet's own partition is down."""
+"""Topic of the orders that are stored while the fleet's own partition is down."""
 ORDERS_KEY: Final = "orders"
-"""Key of our own record of the last orders: when each machine was ordered away."""
+"""Key of the record with the time of each machine's last order."""
 
 
 class MachineOrders:
-    """Stores orders, and then gives them under the fleet owner's token."""
+    """Stores each order before sending it under the fleet owner's token."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         store: StoreClient,
         journal: Journal,
         client: MachineClient,
-        may_order: Callable[[], bool],
+        can_order: Callable[[], bool],
         on_answered: Callable[[OrderAnswered], None],
     ) -> None:
         self.token = token
@@ -48,40 +48,40 @@
         self.store = store
         self.journal = journal
         self.client = client
-        self.may_order = may_order
+        self.can_order = can_order
         self.on_answered = on_answered
-        self.aside_partition = 0
-        """Where the last order that was stored aside stands."""
+        self.fallback_partition = 0
+        """Partition of the orders topic in which the last order was stored."""
         self.ordered_ms: dict[str, int] = {}
-        """When each machine was ordered away last, in milliseconds since 1970."""
+        """When each machine was last ordered away, in milliseconds since the epoch."""
         self.nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin to give orders."""
+        """Set the nursery in which orders are sent."""
         self.nursery = nursery
 
     async def async_restore(self, own: Iterable[KeyedRecord], *, lease_ms: int) -> dict[str, int]:
-        """Return until when each machine may not be ordered, by what earlier owners have stored.
+        """Restore the orders of earlier owners; return until when each machine is blocked.
 
-        `own` are the records of the fleet's partition; times are on the steady clock.
+        `own` holds the records of the fleet's partition; times are on the monotonic clock.
 
-        Two holders may not take turns at one machine within its lease. Each order is stored
-        before it leaves, and our epoch stops those that aren't stored by now.
+        Two holders may not order the same machine within its lease. Each order is stored before
+        it is sent, and this owner's epoch fences those that aren't stored yet.
         """
         blocked_until_ms: dict[str, int] = {}
         now_ms = monotonic_ms()
-        for record in [*own, *await self._async_read_aside()]:
+        for record in [*own, *await self._async_read_fallback()]:
             if record.key != ORDERS_KEY or not record.value:
                 continue
             for machine, at_ms in msgspec.json.decode(record.value, type=dict[str, int]).items():
                 self.ordered_ms[machine] = max(at_ms, self.ordered_ms.get(machine, 0))
                 age_ms = max(0, wall_ms() - self.ordered_ms[machine])
-                left_ms = max(0, lease_ms + CLOCK_MARGIN_MS - age_ms)
+                left_ms = max(0, lease_ms + CLOCK_SKEW_MARGIN_MS - age_ms)
                 blocked_until_ms[machine] = now_ms + left_ms
         return blocked_until_ms
 
-    async def _async_read_aside(self) -> list[KeyedRecord]:
-        """Read the orders that were stored aside; a partition that is down is waited for."""
+    async def _async_read_fallback(self) -> list[KeyedRecord]:
+        """Read all partitions of the orders topic, waiting for those that are down."""
         records: list[KeyedRecord] = []
 
         async def async_read(partition: int) -> None:
@@ -93,42 +93,41 @@
                 nursery.start_soon(async_read, partition)
         return records
 
-    def give(self, intent: Intent) -> None:
-        """Store that a machine is ordered away, and then give the order."""
+    def send(self, intent: Intent) -> None:
+        """Store the order of an intent, and then send it."""
         now_wall_ms = wall_ms()
         self.ordered_ms = {
             machine: at_ms
             for machine, at_ms in self.ordered_ms.items()
-            if now_wall_ms - at_ms < RECENT_ORDERS_MS
+            if now_wall_ms - at_ms < ORDER_RETENTION_MS
         } | {intent.machine: now_wall_ms}
         decided_ms = monotonic_ms()
         assert self.nursery is not None
         nursery = self.nursery
         if not self.journal.connected:
-            nursery.start_soon(self._async_give_aside, intent, decided_ms)
+            nursery.start_soon(self._async_send_via_fallback, intent, decided_ms)
             return
         self.journal.put(ORDERS_KEY, self._encode)
-        self.journal.when_stored(lambda: nursery.start_soon(self._async_give, intent, decided_ms))
+        self.journal.when_stored(lambda: nursery.start_soon(self._async_send, intent, decided_ms))
 
-    async def _async_give_aside(self, intent: Intent, decided_ms: int) -> None:
-        """Store an order wherever it can be, and give it, while our own partition is down.
+    async def _async_send_via_fallback(self, intent: Intent, decided_ms: int) -> None:
+        """Store an order in any available partition, and send it, while the fleet's is down.
 
-        Parts of the store may be down for seconds while the rest works, and with them no pool
-        would get a machine. No next owner can begin before our partition is back, and it reads
-        these records too.
+        Otherwise no pool would get machines during a partial outage of the store. The next owner
+        can't start before the fleet's partition is back, and it reads these records too.
         """
         record = KeyedRecord(key=ORDERS_KEY, value=self._encode())
-        first = self.aside_partition
+        first = self.fallback_partition
         for further in range(self.partitions):
             partition = (first + further) % self.partitions
             stored = await self.store.async_append(ORDERS_TOPIC, partition, [record])
             if not isinstance(stored, Err):
-                self.aside_partition = partition
-                return await self._async_give(intent, decided_ms)
-            if monotonic_ms() - decided_ms > STALE_ORDER_MS:
+                self.fallback_partition = partition
+                return await self._async_send(intent, decided_ms)
+            if monotonic_ms() - decided_ms > MAX_ORDER_DELAY_MS:
                 break
         _LOGGER.warning(
-            "an order can't be stored, so it isn't given",
+            "order can't be stored, so it isn't sent",
             extra={"event": "order_unstored", "machine": intent.machine},
         )
         intent.ordered_ms = None
@@ -137,8 +136,8 @@
     def _encode(self) -> bytes:
         return msgspec.json.encode(self.ordered_ms)
 
-    async def _async_give(self, intent: Intent, decided_ms: int) -> None:
-        if not self.may_order() or monotonic_ms() - decided_ms > STALE_ORDER_MS:
+    async def _async_send(self, intent: Intent, decided_ms: int) -> None:
+        if not self.can_order() or monotonic_ms() - decided_ms > MAX_ORDER_DELAY_MS:
             intent.ordered_ms = None
             return
         ordered: Result[None, CallError]
--- a/heatherkeel/pooling/reducer.py
+++ b/heatherkeel/pooling/reducer.py
@@ -1,4 +1,4 @@
-"""The reducer of the fleet: an event changes the state and gives effects."""
+"""Reducer of the fleet's state: applies events and returns effects."""
 
 from __future__ import annotations
 
@@ -8,63 +8,63 @@
 
 from heatherkeel.platform.errors import Failure
 
-from .const import DEPARTED_MS, LOAD_MAX_AGE_MS, ORDER_RETRY_MS, ORDER_SETTLE_MS
+from .const import DEPARTED_WORKER_MS, LOAD_MAX_AGE_MS, ORDER_RETRY_MS, ORDER_SETTLE_MS
 from .models import (
     DirectoryRead,
     FleetEffect,
     FleetEvent,
-    FleetState,
+    FleetOwnerState,
     Intent,
     MachinesListed,
     OrderAnswered,
     OrderMachine,
     PlanDue,
+    PoolShare,
+    PoolShareView,
     PoolsMeasured,
     Purpose,
     SaveWave,
-    Share,
-    ShareView,
     WaveProgress,
 )
 from .moves import plan_moves
-from .parking import take_back_parking
-from .supply import measure_supply, remember_peak
-from .telling import tell_pools
+from .standby import cancel_unsent_standby_moves
+from .supply import measure_supply, record_peak
+from .telling import log_pools
 from .waves import plan_maintenance
 
 _LOGGER = logging.getLogger(__name__)
 
 EventT = TypeVar("EventT", bound=FleetEvent)
-Handler = Callable[[FleetState, Any], list[FleetEffect]]
+Handler = Callable[[FleetOwnerState, Any], list[FleetEffect]]
 HANDLERS: Final[dict[type[FleetEvent], Handler]] = {}
 
 
 def handles(
     kind: type[EventT],
 ) -> Callable[
-    [Callable[[FleetState, EventT], list[FleetEffect]]],
-    Callable[[FleetState, EventT], list[FleetEffect]],
+    [Callable[[FleetOwnerState, EventT], list[FleetEffect]]],
+    Callable[[FleetOwnerState, EventT], list[FleetEffect]],
 ]:
     """Register the handler of a kind of event."""
 
     def register(
-        handler: Callable[[FleetState, EventT], list[FleetEffect]],
-    ) -> Callable[[FleetState, EventT], list[FleetEffect]]:
+        handler: Callable[[FleetOwnerState, EventT], list[FleetEffect]],
+    ) -> Callable[[FleetOwnerState, EventT], list[FleetEffect]]:
         HANDLERS[kind] = handler
         return handler
 
     return register
 
 
-def reduce_fleet(state: FleetState, event: FleetEvent) -> list[FleetEffect]:
-    """Take in one event; returns what is to be done, in order."""
+def reduce_fleet(state: FleetOwnerState, event: FleetEvent) -> list[FleetEffect]:
+    """Apply an event to the state; return the effects in order."""
     state.now_ms = max(state.now_ms, event.now_ms)
     return HANDLERS[type(event)](state, event)
 
 
 @handles(DirectoryRead)
-def take_directory(state: FleetState, event: DirectoryRead) -> list[FleetEffect]:
-    """Take in services and waves; a wave that is new is told to be in progress."""
+def apply_directory(state: FleetOwnerState, event: DirectoryRead) -> list[FleetEffect]:
+    """Apply services, layout and waves; new waves are reported as in progress."""
     state.services = event.services
     state.layout = event.layout
     effects: list[FleetEffect] = []
@@ -73,7 +73,7 @@
             state.waves[number] = WaveProgress(wave=wave, began_ms=state.now_ms)
             effects.append(SaveWave(progress=state.waves[number]))
             _LOGGER.info(
-                "wave taken in",
+                "wave accepted",
                 extra={
                     "event": "wave_taken",
                     "wave": number,
@@ -85,28 +85,28 @@
 
 
 @handles(PoolsMeasured)
-def take_loads(state: FleetState, event: PoolsMeasured) -> list[FleetEffect]:
-    """Take in the loads of one partition's shares."""
+def record_loads(state: FleetOwnerState, event: PoolsMeasured) -> list[FleetEffect]:
+    """Record the loads of one partition's shares."""
     for load in event.loads:
-        share = Share(pool=load.service, partition=event.partition)
+        share = PoolShare(pool=load.service, partition=event.partition)
         view = state.views.get(share)
         if view is None:
-            view = state.views[share] = ShareView(load=load, heard_ms=state.now_ms)
+            view = state.views[share] = PoolShareView(load=load, received_ms=state.now_ms)
         view.load = load
-        view.heard_ms = state.now_ms
-        remember_peak(state, share)
+        view.received_ms = state.now_ms
+        record_peak(state, share)
     return []
 
 
 @handles(MachinesListed)
-def take_machines(state: FleetState, event: MachinesListed) -> list[FleetEffect]:
-    """Take in the list of machines, and end what it shows to be done."""
+def apply_machine_list(state: FleetOwnerState, event: MachinesListed) -> list[FleetEffect]:
+    """Apply the list of machines, and remove the intents that it shows to be finished."""
     state.machines = {machine.name: machine for machine in event.machines}
     state.listed_ms = event.sent_ms
     for name, intent in list(state.intents.items()):
-        if _is_over(state, intent, event.sent_ms):
+        if _is_finished(state, intent, event.sent_ms):
             del state.intents[name]
-            state.remember_departure(intent, until_ms=state.now_ms + DEPARTED_MS)
+            state.record_departure(intent, until_ms=state.now_ms + DEPARTED_WORKER_MS)
     state.departed = {
         worker_id: departure
         for worker_id, departure in state.departed.items()
@@ -115,11 +115,11 @@
     return []
 
 
-def _is_over(state: FleetState, intent: Intent, sent_ms: int) -> bool:
-    """Say whether a list that was asked for at a time shows that an intent has come true.
+def _is_finished(state: FleetOwnerState, intent: Intent, sent_ms: int) -> bool:
+    """Return whether the list requested at `sent_ms` shows that an intent is finished.
 
-    An order without an answer may be carried out seconds later, so its machine isn't used for
-    anything else until it is shown to have gone, or until that time is over.
+    An unanswered order may be carried out seconds later, so its machine stays reserved until the
+    list shows the move or the order's settle time is over.
     """
     machine = state.machines.get(intent.machine)
     if machine is None:
@@ -128,7 +128,7 @@
         return not machine.is_up()
     if sent_ms <= intent.ordered_ms:
         return False
-    if intent.is_carried_out:
+    if intent.is_confirmed:
         return machine.is_up()
     if state.now_ms - intent.ordered_ms > ORDER_SETTLE_MS:
         return True
@@ -137,13 +137,13 @@
 
 
 @handles(OrderAnswered)
-def take_order_answer(state: FleetState, event: OrderAnswered) -> list[FleetEffect]:
-    """Take in how an order went."""
+def handle_order_answer(state: FleetOwnerState, event: OrderAnswered) -> list[FleetEffect]:
+    """Handle the answer to an order."""
     intent = state.intents.get(event.machine)
     if intent is None:
         return []
     if event.error is None:
-        intent.is_carried_out = True
+        intent.is_confirmed = True
         intent.ordered_ms = state.now_ms
         _LOGGER.info(
             "machine ordered away",
@@ -157,7 +157,7 @@
                 "took_ms": state.now_ms - intent.began_ms,
             },
         )
-        return _count_begun(state, intent)
+        return _record_begun(state, intent)
     _LOGGER.warning(
         "order for a machine failed",
         extra={
@@ -173,7 +173,7 @@
     return []
 
 
-def _count_begun(state: FleetState, intent: Intent) -> list[FleetEffect]:
+def _record_begun(state: FleetOwnerState, intent: Intent) -> list[FleetEffect]:
     progress = state.waves.get(intent.wave)
     if intent.purpose is not Purpose.MAINTAIN or progress is None:
         return []
@@ -182,40 +182,40 @@
 
 
 @handles(PlanDue)
-def plan(state: FleetState, event: PlanDue) -> list[FleetEffect]:
-    """Decide which machines are to go, and order away those that are empty."""
-    if not event.may_order:
-        _drop_plans(state)
+def plan(state: FleetOwnerState, event: PlanDue) -> list[FleetEffect]:
+    """Plan moves and maintenance, and order the machines that are empty."""
+    if not event.can_order:
+        _cancel_unsent(state)
         return []
     if state.listed_ms is None:
         return []
     supply = measure_supply(state)
-    if supply.short and take_back_parking(state):
+    if supply.shortfall and cancel_unsent_standby_moves(state):
         supply = measure_supply(state)
-    tell_pools(state, supply)
-    maintained = plan_maintenance(state, is_short=bool(supply.short))
+    log_pools(state, supply)
+    maintained = plan_maintenance(state, has_shortfall=bool(supply.shortfall))
     for intent in maintained + plan_moves(state, supply):
         if intent.machine not in state.intents:
             state.intents[intent.machine] = intent
-            _tell_intent(intent)
+            _log_intent(intent)
     effects: list[FleetEffect] = []
     for intent in state.intents.values():
-        if not intent.is_carried_out and _is_empty(state, intent) and _is_time(state, intent):
+        if not intent.is_confirmed and _is_empty(state, intent) and _is_order_due(state, intent):
             intent.ordered_ms = state.now_ms
             effects.append(OrderMachine(intent=intent))
     return effects + _complete_waves(state)
 
 
-def _drop_plans(state: FleetState) -> None:
-    """Let machines serve on that no order was given for: none can be given now."""
+def _cancel_unsent(state: FleetOwnerState) -> None:
+    """Cancel the intents whose orders weren't sent, so that their machines keep serving."""
     for name, intent in list(state.intents.items()):
         if intent.ordered_ms is None:
             del state.intents[name]
 
 
-def _tell_intent(intent: Intent) -> None:
+def _log_intent(intent: Intent) -> None:
     _LOGGER.info(
-        "machine is to go",
+        "machine is to leave its pool",
         extra={
             "event": "machine_intent",
             "machine": intent.machine,
@@ -227,28 +227,28 @@
     )
 
 
-def _is_time(state: FleetState, intent: Intent) -> bool:
+def _is_order_due(state: FleetOwnerState, intent: Intent) -> bool:
     if state.now_ms < state.blocked_until_ms.get(intent.machine, 0):
         return False
     return intent.ordered_ms is None or state.now_ms - intent.ordered_ms >= ORDER_RETRY_MS
 
 
-def _is_empty(state: FleetState, intent: Intent) -> bool:
-    """Say whether the owner of the machine's pool has just told that nothing runs on it.
+def _is_empty(state: FleetOwnerState, intent: Intent) -> bool:
+    """Return whether a recent load reports that nothing runs on the machine.
 
-    It starts nothing there from the moment when it first hears of the intent.
+    Its share's owner starts nothing there once it has received the intent.
     """
     if intent.worker_id is None:
         return True
     return any(
         intent.worker_id in view.load.empty
         for view in state.views.values()
-        if state.now_ms - view.heard_ms < LOAD_MAX_AGE_MS
+        if state.now_ms - view.received_ms < LOAD_MAX_AGE_MS
     )
 
 
-def _complete_waves(state: FleetState) -> list[FleetEffect]:
-    """Say that a wave is complete once each of its machines that is still there was begun."""
+def _complete_waves(state: FleetOwnerState) -> list[FleetEffect]:
+    """Complete the waves of which each remaining machine was begun."""
     effects: list[FleetEffect] = []
     for progress in state.waves.values():
         left = [
--- a/tests/ownership/test_share_balance.py
+++ b/tests/ownership/test_share_balance.py
@@ -13,7 +13,7 @@
 
 from heatherkeel.ownership import partitions
 from heatherkeel.ownership.partitions import Layout, extend_layout
-from heatherkeel.pooling.const import FULL_SHARE
+from heatherkeel.pooling.const import TARGET_UTILIZATION
 
 SERVICES = ("desk", "dispatch", "portal", "store")
 MACHINES = 276
@@ -23,7 +23,7 @@
 """Duration of a job in seconds; jobs that arrive within it run at the same time."""
 SLACK_FACTOR = 1.6
 """Ratio of a job's allowed duration to the duration of its work."""
-MOST_OVER_MEAN = SLACK_FACTOR * FULL_SHARE
+MOST_OVER_MEAN = SLACK_FACTOR * TARGET_UTILIZATION
 """Greatest allowed ratio of the fullest share's load to the mean, for which pools get machines."""
 
 
--- a/tests/pooling/test_orders_record.py
+++ b/tests/pooling/test_orders_record.py
@@ -1,4 +1,4 @@
-"""Orders for machines are stored before they leave, wherever that can be done."""
+"""Tests that orders for machines are stored before they are sent."""
 
 from __future__ import annotations
 
@@ -8,37 +8,36 @@
 import trio
 
 from heatherkeel.ownership.const import WORK_TOPIC
-from heatherkeel.pooling.keeper import FleetKeeper
+from heatherkeel.pooling.keeper import FleetOwner
 from heatherkeel.pooling.ordering import ORDERS_KEY, ORDERS_TOPIC
 from tests.instance.site import STEP, Site, open_site
 
 JOB = "00000000000000c1"
 
 
-def find_keeper(site: Site) -> FleetKeeper | None:
-    """Return the fleet's owner once it has begun; one that was killed owns nothing."""
+def find_fleet_owner(site: Site) -> FleetOwner | None:
+    """Return the fleet's owner once it has started, ignoring killed processes."""
     for process, scope in zip(site.processes, site.scopes, strict=True):
         if scope.cancel_called:
             continue
-        if process.keeper is not None and process.keeper.nursery is not None:
-            return process.keeper
+        if process.fleet_owner is not None and process.fleet_owner.nursery is not None:
+            return process.fleet_owner
     return None
 
 
 def test_machines_move_while_the_fleets_own_partition_is_down() -> None:
-    """A part of the store is down, and the fleet's partition with it; a queue's turn comes.
+    """Demand rises during a partial outage of the store that includes the fleet's partition.
 
-    Orders wait to be stored there, so the pool stays at the few machines that it keeps between
-    its turns, for as long as the outage lasts.
+    Without another place to store orders, the pool would get no machines during the outage.
     """
 
     async def async_test() -> None:
         async with open_site(processes=1, machines=2, spares=2) as site:
-            await site.async_wait(lambda: find_keeper(site) is not None)
-            keeper = find_keeper(site)
-            assert keeper is not None
+            await site.async_wait(lambda: find_fleet_owner(site) is not None)
+            fleet_owner = find_fleet_owner(site)
+            assert fleet_owner is not None
             site.platform.faults.down_partitions |= {
-                (WORK_TOPIC, keeper.partition),
+                (WORK_TOPIC, fleet_owner.partition),
                 (ORDERS_TOPIC, 0),
             }
             wide = STEP | {"count": 40, "cpu": 2000}
@@ -55,11 +54,10 @@
     trio.run(async_test)
 
 
-def test_next_owner_leaves_machines_alone_that_were_just_ordered_away() -> None:
-    """The fleet's owner orders a machine away and is killed; its successor begins at once.
+def test_new_owner_does_not_order_machines_that_were_just_ordered() -> None:
+    """The fleet's owner is killed right after an order, and its successor starts at once.
 
-    Two holders that take turns at one machine within its lease break its agreement with the
-    platform. The record of the last order tells for which machines the successor has to wait.
+    Orders of two holders for one machine within its lease violate the platform's rules.
     """
 
     async def async_test() -> None:
@@ -69,10 +67,10 @@
             site.platform.log.put(ORDERS_TOPIC, ORDERS_KEY, record)
             site.kill(site.processes[0])
             await site.async_add_process()
-            await site.async_wait(lambda: find_keeper(site) is not None)
-            keeper = find_keeper(site)
-            assert keeper is not None
-            blocked = keeper.state.blocked_until_ms
+            await site.async_wait(lambda: find_fleet_owner(site) is not None)
+            fleet_owner = find_fleet_owner(site)
+            assert fleet_owner is not None
+            blocked = fleet_owner.state.blocked_until_ms
             assert blocked["m0"] > blocked["m1"]
 
     trio.run(async_test)
--- a/tests/pooling/test_parking.py
+++ b/tests/pooling/test_standby.py
@@ -1,8 +1,8 @@
-"""Machines that are about to be parked when another pool's turn begins."""
+"""Tests of planned moves to the standby pool when another pool's demand rises."""
 
 from __future__ import annotations
 
-from heatherkeel.pooling.const import KEEP_MS, PARK_AFTER_MS
+from heatherkeel.pooling.const import PEAK_RETENTION_MS, STANDBY_DELAY_MS
 from heatherkeel.pooling.models import Purpose
 
 from .fleet import CPU, Fleet
@@ -10,13 +10,13 @@
 LOOK_MS = 100
 
 
-def test_machine_about_to_be_parked_stays_when_a_share_is_short() -> None:
-    """It is still being emptied when another pool's turn begins, and goes there in one move.
+def test_unsent_move_to_standby_is_cancelled_on_a_shortfall() -> None:
+    """A machine that is being emptied for standby goes to the pool with a shortfall instead.
 
-    Parked first and fetched back it would be away twice, and the turn would wait for both moves.
+    Otherwise it would be unavailable for two moves.
     """
     fleet = Fleet(desk=20, portal=10, spare=0)
-    for _ in range((KEEP_MS + PARK_AFTER_MS) // LOOK_MS + 2):
+    for _ in range((PEAK_RETENTION_MS + STANDBY_DELAY_MS) // LOOK_MS + 2):
         fleet.measure(desk=0, portal=0)
         fleet.plan(after_ms=LOOK_MS)
     assert any(intent.pool == "spare" for intent in fleet.state.intents.values())
@@ -26,15 +26,15 @@
     assert moves and all(intent.pool == "portal" for intent in moves)
 
 
-def test_order_to_park_that_has_left_stands() -> None:
-    """The machine may have gone: it counts as away until the list tells where it is."""
+def test_sent_order_to_standby_is_not_cancelled() -> None:
+    """The machine may have moved already, so it is reserved until the list shows where it is."""
     fleet = Fleet(desk=20, portal=10, spare=0)
-    for _ in range((KEEP_MS + PARK_AFTER_MS) // LOOK_MS + 2):
+    for _ in range((PEAK_RETENTION_MS + STANDBY_DELAY_MS) // LOOK_MS + 2):
         fleet.empty = set(fleet.pool_of)
         fleet.measure(desk=0, portal=0)
         fleet.plan(after_ms=LOOK_MS)
-    parked = {name for name, i in fleet.state.intents.items() if i.ordered_ms is not None}
-    assert parked
+    ordered = {name for name, i in fleet.state.intents.items() if i.ordered_ms is not None}
+    assert ordered
     fleet.measure(desk=0, portal=16 * CPU)
     fleet.plan(after_ms=LOOK_MS)
-    assert all(fleet.state.intents[name].pool == "spare" for name in parked)
+    assert all(fleet.state.intents[name].pool == "spare" for name in ordered)
--- a/tests/pooling/test_wave_records.py
+++ b/tests/pooling/test_wave_records.py
@@ -1,4 +1,4 @@
-"""A next owner of the fleet goes on with a wave where the last one was."""
+"""Tests that a new owner of the fleet resumes a wave."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import pytest
 
 from heatherkeel.platform.operator import Wave
-from heatherkeel.pooling.models import FleetState, Purpose, WaveProgress
+from heatherkeel.pooling.models import FleetOwnerState, Purpose, WaveProgress
 from heatherkeel.pooling.wave_records import encode_wave, restore_wave
 
 from .fleet import CPU, Fleet
@@ -17,18 +17,18 @@
 
 
 def make_progress(*, began_ms: int, begun: set[str] | None = None) -> WaveProgress:
-    """Return a wave that was taken in at a time."""
+    """Return the progress of a wave that began at a time."""
     return WaveProgress(wave=WAVE, began_ms=began_ms, begun=begun or set())
 
 
 def take_over(value: bytes, *, after_ms: int, now_ms: int = 500) -> WaveProgress:
-    """Let another process, with a steady clock of its own, read a wave's record later."""
+    """Restore a wave's record later in a process with another monotonic clock."""
     progress = make_progress(began_ms=now_ms)
     restore_wave(progress, value, now_ms=now_ms, wall_ms=WALL_MS + after_ms)
     return progress
 
 
-def test_wave_lasts_since_its_first_owner_took_it_in() -> None:
+def test_wave_counts_from_its_acceptance_by_the_first_owner() -> None:
     first = make_progress(began_ms=70_000, begun={"desk1", "desk0"})
     value = encode_wave(first, now_ms=73_000, wall_ms=WALL_MS)
     then = take_over(value, after_ms=9_000)
@@ -38,7 +38,7 @@
     assert msgspec.json.decode(again) == msgspec.json.decode(value)
 
 
-def test_clocks_that_differ_begin_no_wave_in_the_future() -> None:
+def test_clock_skew_begins_no_wave_in_the_future() -> None:
     value = encode_wave(make_progress(began_ms=0), now_ms=0, wall_ms=WALL_MS)
     assert take_over(value, after_ms=-2000).began_ms == 500
 
@@ -48,16 +48,16 @@
     assert (then.begun, then.began_ms) == ({"desk0"}, 500)
 
 
-def test_record_that_cannot_be_read_is_told(caplog: pytest.LogCaptureFixture) -> None:
-    """All machines count as not begun: those that were are maintained twice, and none is left."""
+def test_invalid_record_is_logged(caplog: pytest.LogCaptureFixture) -> None:
+    """All machines count as not begun: some may be maintained twice, but none is left out."""
     assert take_over(b"{", after_ms=0).begun == set()
     assert [record.__dict__["event"] for record in caplog.records] == ["wave_record_bad"]
 
 
-def test_next_owner_spares_no_busy_pool_when_the_wave_is_late() -> None:
+def test_new_owner_defers_no_busy_pool_when_the_wave_is_late() -> None:
     """The fleet's owner is lost half-way through a wave whose last machines are in a busy pool.
 
-    The next one took the wave to have just begun, and waited for the turn's end beyond its time.
+    A new owner that restarted the wave's time would defer them past the wave's end.
     """
     first = make_progress(began_ms=0, begun={"desk0"})
     value = encode_wave(first, now_ms=14_000, wall_ms=WALL_MS)
@@ -69,6 +69,6 @@
     assert begun and "desk0" not in begun
 
 
-def restore(state: FleetState, value: bytes, *, now_ms: int) -> None:
-    """Let a fleet's state take in the record of its wave, read at once."""
+def restore(state: FleetOwnerState, value: bytes, *, now_ms: int) -> None:
+    """Restore the record of a wave into a fleet's state."""
     restore_wave(state.waves[WAVE.number], value, now_ms=now_ms, wall_ms=WALL_MS)
