--- a/heatherkeel/dispatch/events.py
+++ b/heatherkeel/dispatch/events.py
@@ -1,4 +1,4 @@
-"""What can happen to a partition, and what its owner does about it."""
+"""Events that a partition's reducer handles, and effects that it returns."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Event:
-    """Something that happened, at a time on the steady clock and on the wall."""
+    """Something that happened, with its time on the monotonic and on the wall clock."""
 
     now_ms: int
     wall_ms: int
@@ -22,21 +22,21 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class QueuesChanged(Event):
-    """The configuration names these queues."""
+    """The configured queues have changed; all of them are listed."""
 
     queues: dict[str, Queue]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkersListed(Event):
-    """The workers of this partition's services, as they stand in the store."""
+    """The stored entries of all workers of this partition's services."""
 
     entries: dict[str, WorkerEntry]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobSubmitted(Event):
-    """A job stands in the store."""
+    """A submitted job has been stored."""
 
     job_id: str
     queue: str
@@ -47,20 +47,20 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobCanceled(Event):
-    """A caller's cancel stands in the store."""
+    """A caller's cancellation has been stored."""
 
     job_id: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkerAnswered(Event):
-    """A worker told its lease and all that it runs; the call was made at `sent_ms`."""
+    """A worker answered a listing, which was requested at `sent_ms`."""
 
     worker_id: str
     sent_ms: int
     listing: Listing
     acknowledged: int = 0
-    """Up to where the call acknowledged ends."""
+    """The highest end number that the call acknowledged."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StartAnswered(Event):
-    """A start was answered, or its time ran out; `error` is None if the task runs."""
+    """A start was answered or timed out; `error` is None if the task runs."""
 
     run: Run
     error: CallError | None
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StopAnswered(Event):
-    """A stop was answered, or its time ran out."""
+    """A stop was answered or timed out."""
 
     run: Run
     error: CallError | None
@@ -89,23 +89,23 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkersLeaving(Event):
-    """The machines of these workers, and of no others, are to be emptied."""
+    """The machines of exactly these workers are to be emptied."""
 
     worker_ids: frozenset[str]
     due: frozenset[str] = frozenset()
-    """Workers whose turn comes later."""
+    """Workers whose machines are to be emptied later."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LivesListed(Event):
-    """The list of machines names these lives of workers as being up."""
+    """The list of machines reports these worker incarnations as up."""
 
     worker_ids: frozenset[str]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AdviceTold(Event):
-    """The advisor told which of some workers may run a step; `tickets` is None if it didn't."""
+    """The advisor answered which workers may run a step; `tickets` is None if the call failed."""
 
     step: Step
     worker_ids: tuple[str, ...]
@@ -116,29 +116,29 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Tick(Event):
-    """Some time has passed."""
+    """Periodic event that triggers what depends on time alone."""
 
     can_start: bool = True
-    """Starts can be stored and sent, so what is stopped here can go on elsewhere."""
+    """Starts can be stored and sent, so tasks that are stopped can continue on other workers."""
     outdated: frozenset[str] = frozenset()
-    """Workers whose entries were read too long ago to tell their room."""
+    """Workers whose entries are too old to rely on their capacity."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Effect:
-    """Something that the owner's process does."""
+    """An action that the owner's process carries out."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SaveJob(Effect):
-    """Store how far a job is; effects named after it wait until that is done."""
+    """Store a job's progress; later effects of the event wait until it is stored."""
 
     job_id: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ForgetJob(Effect):
-    """Drop what is stored about a job, or, with `only_request`, what its caller sent."""
+    """Delete a job's progress record, or, with `only_request`, its request and cancellation."""
 
     job_id: str
     only_request: bool
@@ -146,14 +146,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StartTask(Effect):
-    """Send the order to start a run, once its attempt is stored."""
+    """Order a worker to start a run, once its attempt is stored."""
 
     run: Run
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StopTask(Effect):
-    """Send the order to stop a run, at once or once it is stored that the run is stopped."""
+    """Order a worker to stop a run: at once, or with `once_stored` after the change is stored."""
 
     run: Run
     once_stored: bool = False
@@ -161,7 +161,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PaceTask(Effect):
-    """Let a run work at a share of its speed."""
+    """Order a worker to run a task at a percentage of its full speed."""
 
     run: Run
     percent: int
@@ -169,12 +169,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OpenSessions(Effect):
-    """Talk to the present life of each worker, and to no earlier one any more."""
+    """Open a session with each worker's current incarnation, and close those with earlier ones."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AskAdvice(Effect):
-    """Ask the advisor which of some workers may run a step."""
+    """Ask the advisor which of these workers may run a step."""
 
     step: Step
     worker_ids: tuple[str, ...]
@@ -182,7 +182,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AcknowledgeEnds(Effect):
-    """Let one life of a worker forget its ends up to a number, once they are stored."""
+    """Let a worker incarnation delete its ends up to a number, once they are stored."""
 
     worker: Worker
     number: int
@@ -190,14 +190,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CountLoss(Effect):
-    """Count a run that was lost, and whose task starts again."""
+    """Count a lost run whose task has to start again."""
 
     reason: LossReason
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CountGivenUp(Effect):
-    """Count a job that was given up since a task of it crashes workers."""
+    """Count a job that was failed because one of its tasks crashes workers."""
 
 
 @dataclass(kw_only=True, slots=True)
@@ -206,12 +206,12 @@
 
     items: list[Effect] = field(default_factory=list)
     touched: dict[str, None] = field(default_factory=dict)
-    """Services whose waiting steps or room have changed."""
+    """Services whose waiting steps or capacity have changed, in order."""
 
     def add(self, effect: Effect) -> None:
         """Add an effect."""
         self.items.append(effect)
 
     def touch(self, service: str) -> None:
-        """Look at a service's waiting steps after this event."""
+        """Request placement of a service's waiting steps after this event."""
         self.touched[service] = None
--- a/heatherkeel/dispatch/jobs.py
+++ b/heatherkeel/dispatch/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs come, end, and are canceled."""
+"""Submission, cancellation and end of jobs."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 @handles(QueuesChanged)
-def take_queues(state: PartitionState, event: QueuesChanged, effects: Effects) -> None:
-    """Take in the queues; jobs that were accepted keep the objective that they were given."""
+def update_queues(state: PartitionState, event: QueuesChanged, effects: Effects) -> None:
+    """Update the configured queues; accepted jobs keep the objective that they have."""
     state.queues = event.queues
 
 
 @handles(JobSubmitted)
-def take_job(state: PartitionState, event: JobSubmitted, effects: Effects) -> None:
-    """Take in a job, once: callers repeat a submission that they saw no answer to."""
+def add_submitted_job(state: PartitionState, event: JobSubmitted, effects: Effects) -> None:
+    """Add a submitted job, unless it is known: callers retry submissions without an answer."""
     known = state.find_job(event.job_id)
     if known is not None:
         if known.state.is_final():
@@ -51,7 +51,7 @@
     if job.occurrences:
         find_pool(state, job.service).take_arrival(job, state.now_ms)
     _LOGGER.info(
-        "job taken in",
+        "job accepted",
         extra={
             "event": "job_taken",
             "job": job.id,
@@ -66,9 +66,9 @@
 
 
 def begin_due_occurrences(state: PartitionState, job: Job, effects: Effects) -> None:
-    """Begin each occurrence whose time has come; a job without times begins at once.
+    """Begin each occurrence that is due; a job without a schedule begins at once.
 
-    Of more than can be in progress at once the rest is held back until earlier ones are done.
+    Once the limit of open tasks is reached, further occurrences wait until earlier ones are done.
     """
     open_tasks: int | None = None
     while len(job.occurrences) < job.expected_occurrences():
@@ -95,7 +95,7 @@
 
 @handles(JobCanceled)
 def cancel_job(state: PartitionState, event: JobCanceled, effects: Effects) -> None:
-    """Start nothing more of a job, and stop what runs."""
+    """Cancel a job: start no more of its tasks, and stop those that run."""
     job = state.jobs.get(event.job_id)
     if job is None:
         if event.job_id in state.finished:
@@ -104,9 +104,9 @@
     end_job(state, job, JobState.CANCELED, effects)
 
 
-def end_job(state: PartitionState, job: Job, ended_as: JobState, effects: Effects) -> None:
-    """Give a job its final state, and stop whatever still runs of it."""
-    job.state = ended_as
+def end_job(state: PartitionState, job: Job, final_state: JobState, effects: Effects) -> None:
+    """Set a job's final state, and stop its remaining runs."""
+    job.state = final_state
     job.ended_ms = state.now_ms
     del state.jobs[job.id]
     state.finished[job.id] = job
@@ -124,7 +124,7 @@
             "event": "job_ended",
             "job": job.id,
             "queue": job.queue,
-            "state": ended_as.value,
+            "state": final_state.value,
             "took_ms": state.now_ms - job.accepted_ms,
             "late_ms": round(state.now_ms - job.due_ms),
         },
@@ -132,10 +132,9 @@
 
 
 def save_ended(job: Job, effects: Effects) -> None:
-    """Store an ended job; what its caller sent is needed for as long as a run may be left.
+    """Store an ended job, and delete its request once none of its runs may remain.
 
-    A next owner has to know these runs: workers keep what they run while their lease is renewed,
-    and the room that such a run takes follows from the request.
+    The next owner needs the request to know the capacity that remaining runs use.
     """
     effects.add(SaveJob(job_id=job.id))
     if not job.has_runs():
@@ -143,7 +142,7 @@
 
 
 def stop_leftovers(state: PartitionState, effects: Effects) -> None:
-    """Stop what an earlier owner left running of jobs that have ended, or was about to stop."""
+    """Stop runs of ended jobs that an earlier owner left running, or was stopping."""
     for job in [*state.finished.values(), *state.jobs.values()]:
         for run in job.runs():
             if run.state is RunState.STOPPING:
@@ -153,17 +152,17 @@
 
 
 def stop_run(state: PartitionState, run: Run, effects: Effects) -> None:
-    """Stop a run; its room stays taken until its worker lists the end."""
+    """Stop a run; its capacity stays in use until its worker lists the end."""
     if run.state is RunState.STOPPING:
         return
     if run.state is RunState.PLANNED and run.answered_ms is None:
-        # The order hasn't left: it is dropped where it waits, since the run is forgotten.
+        # The start hasn't been sent. Its session drops it, since the run is no longer known.
         forget_run(state, run)
         return
     run.state = RunState.STOPPING
     run.answered_ms = None
     lasts = run.task.step.request.lasts
     if lasts:
-        # A next owner has to know that this task is away, though it is still listed at work.
+        # The next owner has to know that this task is unavailable, though still listed as running.
         effects.add(SaveJob(job_id=run.task.step.job.id))
     effects.add(StopTask(run=run, once_stored=lasts))
--- a/heatherkeel/dispatch/open_steps.py
+++ b/heatherkeel/dispatch/open_steps.py
@@ -1,4 +1,4 @@
-"""The steps of a pool that wait for room, in the order in which they get it."""
+"""The steps of a pool that wait for capacity, in the order in which they get it."""
 
 from __future__ import annotations
 
@@ -19,18 +19,17 @@
 )
 from .models import Step
 
-WORTHLESS_AFTER: Final = 3
-"""A job is worth nothing any more at this many times its objective (the platform's word)."""
+WORTHLESS_FACTOR: Final = 3
+"""A job is worth nothing after this many times its objective, as documented by the platform."""
 
 Entry = tuple[float, float, str, Step]
 
 
 class Urgency(IntEnum):
-    """Who goes first.
+    """Priority class of a step; lower values go first.
 
-    A job that is late is worth a tenth or less, so it takes only room that no job in time can
-    use, but for its last chance; there the one with the least work left goes first, since each
-    is worth about the same.
+    A late job is worth a tenth or less, so it gets only capacity that no job in time can use,
+    except for its last chance. Late jobs are ordered by their remaining work.
     """
 
     LASTING = 0
@@ -40,23 +39,23 @@
 
 
 class OpenSteps:
-    """Keeps steps sorted, so that an event costs what it looks at and not what waits.
+    """Keeps waiting steps sorted, so that an event's cost doesn't depend on how many wait.
 
-    How urgent a step is changes with time alone, and only ever down. It is noticed when the step
-    is looked at, which is before any less urgent one gets room.
+    A step's urgency only decreases, and only with time. It is updated when the step is visited,
+    which is before any less urgent step gets capacity.
     """
 
     def __init__(self) -> None:
         self.entries: dict[Step, tuple[Urgency, Entry]] = {}
         self.sorted: dict[Urgency, SortedList] = {urgency: SortedList() for urgency in Urgency}
-        self.smallest: SortedList = SortedList()
-        """The steps in time by their work."""
-        self.last_starts: SortedList = SortedList()
-        """The late steps by when they have to start to be worth anything."""
+        self.in_time_by_work: SortedList = SortedList()
+        """The steps in time, by their work."""
+        self.late_by_last_start: SortedList = SortedList()
+        """The late steps, by the last time at which they can start and be worth anything."""
         self.work_in_time = 0.0
-        """Of all steps in time, in core-milliseconds."""
+        """Work of all steps in time, in core-milliseconds."""
         self.cores = 0.0
-        self.worker_cores = 0.0
+        self.largest_worker_cores = 0.0
 
     def __len__(self) -> int:
         return len(self.entries)
@@ -65,65 +64,61 @@
         return iter(self.entries)
 
     def add(self, step: Step, now_ms: int) -> None:
-        """Let a step wait; one that waits already keeps its place."""
+        """Add a waiting step; one that already waits keeps its place."""
         if step not in self.entries:
-            self._put(step, find_urgency(step, now_ms))
+            self._insert(step, find_urgency(step, now_ms))
 
     def discard(self, step: Step) -> None:
-        """Let a step wait no more."""
+        """Remove a step, if it waits."""
         known = self.entries.pop(step, None)
         if known is None:
             return
         urgency, entry = known
         self.sorted[urgency].remove(entry)
         if urgency is Urgency.IN_TIME:
-            self.smallest.remove(_entry_by_work(step))
-            # Summed up anew whenever none is left, or rounding would add up over days.
-            self.work_in_time = self.work_in_time - step.work if self.smallest else 0.0
+            self.in_time_by_work.remove(_entry_by_work(step))
+            # Reset when none is left, so that rounding errors don't add up.
+            self.work_in_time = self.work_in_time - step.work if self.in_time_by_work else 0.0
         elif urgency is Urgency.LATE:
-            self.last_starts.remove(_entry_by_last_start(step))
+            self.late_by_last_start.remove(_entry_by_last_start(step))
 
-    def set_room(self, *, cores: float, worker_cores: float) -> None:
-        """Take in the processor of the pool's workers, and that of the largest, in cores."""
+    def set_capacity(self, *, cores: float, largest_worker_cores: float) -> None:
+        """Set the cores of the pool's workers in total, and those of its largest worker."""
         self.cores = cores
-        self.worker_cores = worker_cores
+        self.largest_worker_cores = largest_worker_cores
 
     def in_order(self, now_ms: int) -> Iterator[Step]:
-        """Return the steps, the most urgent first; those looked at may be discarded meanwhile."""
-        yield from self._look_at(Urgency.LASTING, self.sorted[Urgency.LASTING], now_ms)
+        """Yield the steps, the most urgent first; yielded steps may be discarded meanwhile."""
+        yield from self._iter_steps(Urgency.LASTING, self.sorted[Urgency.LASTING], now_ms)
         rescued = self._find_rescued(now_ms)
         yield from rescued
-        yield from self._look_at(Urgency.IN_TIME, self._list_in_time(), now_ms)
+        yield from self._iter_steps(Urgency.IN_TIME, self._steps_in_time(), now_ms)
         for urgency in (Urgency.LATE, Urgency.WORTHLESS):
-            for step in self._look_at(urgency, self.sorted[urgency], now_ms):
+            for step in self._iter_steps(urgency, self.sorted[urgency], now_ms):
                 if step not in rescued:
                     yield step
 
-    def _list_in_time(self) -> SortedList:
-        """Return the steps in time by when they must start, or the smallest first.
+    def _steps_in_time(self) -> SortedList:
+        """Return the steps in time by their latest start, or by their work if there is a backlog.
 
-        With a backlog of some seconds most of them can't be done in time, whatever the order. By
-        their start all would become late together; the smallest first, most are still done.
-        Simulated at twice and three times a pool's room, with durations off by a fifth: 0.68 and
-        0.55 of the jobs in time instead of 0.42 and 0.23.
+        With a backlog, ordering by latest start would make all of them late together; by work,
+        most of them are still done in time.
         """
         if self.work_in_time > BACKLOG_MS * self.cores:
-            return self.smallest
+            return self.in_time_by_work
         return self.sorted[Urgency.IN_TIME]
 
     def _find_rescued(self, now_ms: int) -> list[Step]:
-        """Return late steps to start before those in time: their jobs' last chance, and small.
+        """Return small late steps that go before those in time, since it is their last chance.
 
-        Behind all jobs in time a late one waits until it is worth nothing, and its caller gets
-        nothing at all. A job that is saved so costs another one its objective at the most. Only a
-        small part of the room goes to them, or under a lasting overload every job would be done
-        at its last moment and none in time. With the order above, simulated at twice and three
-        times the room: 0.06 and 0.22 of the jobs not served instead of 0.12 and 0.33.
+        Otherwise late jobs would wait behind all jobs in time until they are worth nothing. Only
+        a small part of the capacity is used, or under sustained overload every job would be done
+        at its last moment and none in time.
         """
-        # Those that had to start longer ago can't be saved any more, or hardly.
+        # Steps that had to start earlier can hardly be completed before they are worth nothing.
         since = (float(now_ms - LAST_CHANCE_MS),)
         until = (float(now_ms + LAST_CHANCE_MS), "\U0010ffff")
-        found = self.last_starts.irange(since, until)
+        found = self.late_by_last_start.irange(since, until)
         steps = [step for *_, step in islice(found, MAX_LOOKED_AT)]
         left = RESCUE_MS * self.cores
         rescued = []
@@ -137,8 +132,8 @@
             rescued.append(step)
         return rescued
 
-    def _look_at(self, urgency: Urgency, entries: SortedList, now_ms: int) -> Iterator[Step]:
-        """Return the steps of an urgency in an order, and move those that have lost it."""
+    def _iter_steps(self, urgency: Urgency, entries: SortedList, now_ms: int) -> Iterator[Step]:
+        """Yield entries' steps that still have an urgency, and move the others to their new one."""
         for entry in list(islice(entries, MAX_LOOKED_AT)):
             step = entry[-1]
             if step not in self.entries:
@@ -148,23 +143,27 @@
                 yield step
                 continue
             self.discard(step)
-            self._put(step, urgency_now)
+            self._insert(step, urgency_now)
 
-    def _put(self, step: Step, urgency: Urgency) -> None:
-        entry: Entry = (*self._rank(step, urgency), step.name(), step)
+    def _insert(self, step: Step, urgency: Urgency) -> None:
+        entry: Entry = (*self._sort_key(step, urgency), step.name(), step)
         self.entries[step] = (urgency, entry)
         self.sorted[urgency].add(entry)
         if urgency is Urgency.IN_TIME:
-            self.smallest.add(_entry_by_work(step))
+            self.in_time_by_work.add(_entry_by_work(step))
             self.work_in_time += step.work
         elif urgency is Urgency.LATE:
-            self.last_starts.add(_entry_by_last_start(step))
+            self.late_by_last_start.add(_entry_by_last_start(step))
 
-    def _rank(self, step: Step, urgency: Urgency) -> tuple[float, float]:
+    def _sort_key(self, step: Step, urgency: Urgency) -> tuple[float, float]:
         if urgency >= Urgency.LATE:
-            return (_work_ms(step), step.latest_start_ms)
-        later_ms = LATER_BY_WORK * step.work / self.worker_cores if self.worker_cores else 0.0
-        return (float(step.request.fills), step.latest_start_ms + later_ms)
+            return (_critical_path_ms(step), step.latest_start_ms)
+        delay_ms = (
+            LATER_BY_WORK * step.work / self.largest_worker_cores
+            if self.largest_worker_cores
+            else 0.0
+        )
+        return (float(step.request.fills), step.latest_start_ms + delay_ms)
 
 
 def _entry_by_work(step: Step) -> tuple[float, float, str, Step]:
@@ -175,31 +174,31 @@
     return (find_last_start_ms(step), step.name(), step)
 
 
-def _work_ms(step: Step) -> float:
-    """Return the longest chain of work from a step's start to its job's end, in milliseconds."""
+def _critical_path_ms(step: Step) -> float:
+    """Return the critical path from a step's start to its job's end, in milliseconds."""
     return step.job.due_ms - step.latest_start_ms
 
 
 def _slack_ms(step: Step) -> float:
-    return ESTIMATE_SLACK * _work_ms(step)
+    return ESTIMATE_SLACK * _critical_path_ms(step)
 
 
 def find_worthless_ms(step: Step) -> float:
-    """Return from when on a step's job is worth nothing."""
+    """Return the time from which a step's job is worth nothing."""
     job = step.job
-    return job.accepted_ms + WORTHLESS_AFTER * (job.due_ms - job.accepted_ms)
+    return job.accepted_ms + WORTHLESS_FACTOR * (job.due_ms - job.accepted_ms)
 
 
 def find_last_start_ms(step: Step) -> float:
-    """Return when a step must start for its job to be worth anything."""
-    return find_worthless_ms(step) - _work_ms(step)
+    """Return the latest start of a step for its job to be worth anything."""
+    return find_worthless_ms(step) - _critical_path_ms(step)
 
 
 def find_urgency(step: Step, now_ms: int) -> Urgency:
-    """Say how urgent a step is now.
+    """Return a step's current urgency.
 
-    It is in time as long as it can still be done by its job's objective, or nearly: declared
-    durations are off.
+    A step is in time while it can meet its job's objective, with some slack because declared
+    durations are inexact.
     """
     if step.request.lasts:
         return Urgency.LASTING
--- a/heatherkeel/dispatch/placement.py
+++ b/heatherkeel/dispatch/placement.py
@@ -24,7 +24,7 @@
     if not workers:
         return
     sizes = [worker.entry.capacity.cpu / 1000 for worker in workers]
-    pool.open_steps.set_room(cores=sum(sizes), worker_cores=max(sizes))
+    pool.open_steps.set_capacity(cores=sum(sizes), largest_worker_cores=max(sizes))
     misfits = 0
     free_cpu = max(worker.free_cpu() for worker in workers)
     for step in pool.open_steps.in_order(state.now_ms):
--- a/heatherkeel/dispatch/reducer.py
+++ b/heatherkeel/dispatch/reducer.py
@@ -1,6 +1,6 @@
-"""The one reducer of a partition: an event changes the state and gives effects.
+"""The reducer of a partition: an event changes the state and returns effects.
 
-It does no I/O and reads no clock, so a recorded sequence of events gives the same decisions.
+It does no I/O and reads no clock, so replaying recorded events gives the same decisions.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 def reduce_event(state: PartitionState, event: Event) -> list[Effect]:
-    """Take in one event; returns what is to be done, in order.
+    """Apply one event to the state; returns the effects to carry out, in order.
 
-    Only services that the event touched are looked at, so its cost grows with what it changes
-    and not with all jobs and workers.
+    Placement runs only for the services that the event touched, so the cost of an event depends
+    on what it changes and not on the number of jobs and workers.
     """
     state.now_ms = max(state.now_ms, event.now_ms)
     state.wall_ms = event.wall_ms
--- a/heatherkeel/dispatch/registry.py
+++ b/heatherkeel/dispatch/registry.py
@@ -1,4 +1,4 @@
-"""The registry of handlers: which function takes which kind of event."""
+"""Registry of the handler function of each kind of event."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     [Callable[[PartitionState, EventT, Effects], None]],
     Callable[[PartitionState, EventT, Effects], None],
 ]:
-    """Register the handler of a kind of event."""
+    """Register a function as the handler of a kind of event."""
 
     def register(
         handler: Callable[[PartitionState, EventT, Effects], None],
--- a/heatherkeel/dispatch/subjects.py
+++ b/heatherkeel/dispatch/subjects.py
@@ -1,4 +1,4 @@
-"""Imports every part of dispatching, so that its handlers are registered."""
+"""Imports every module with event handlers, so that they are registered."""
 
 from __future__ import annotations
 
