--- a/heatherkeel/dispatch/lasting.py
+++ b/heatherkeel/dispatch/lasting.py
@@ -1,4 +1,4 @@
-"""Takes lasting tasks off workers that leave, within what each step may miss."""
+"""Eviction of tasks from workers that drain or leave, within each step's `max_unavailable`."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def leave_workers(state: PartitionState, effects: Effects) -> None:
-    """Stop what won't end soon by itself on workers that drain or whose machines are to go.
+    """Evict tasks that won't end soon from workers that drain or whose machines are leaving.
 
-    While nothing can be started, a stopped task would only wait.
+    Nothing is stopped while no task can be started elsewhere.
     """
     if not state.can_start:
         return
@@ -20,45 +20,45 @@
             continue
         for run in list(worker.runs.values()):
             if run.state is RunState.RUNNING:
-                _leave(state, worker, run, effects)
+                _evict(state, worker, run, effects)
 
 
-def _leave(state: PartitionState, worker: Worker, run: Run, effects: Effects) -> None:
-    """Stop a run that would keep the worker from being empty; others soon end by themselves.
+def _evict(state: PartitionState, worker: Worker, run: Run, effects: Effects) -> None:
+    """Stop a run that would delay emptying the worker; other runs soon end by themselves.
 
-    A task that saves goes on elsewhere from where it was stopped. A worker that drains takes
-    its lasting tasks with it in any case, and soon.
+    A task that saves its progress continues elsewhere. A draining worker soon ends its
+    long-running tasks in any case, so `max_unavailable` doesn't apply there.
     """
     request = run.task.step.request
     if not request.lasts:
         if request.saves and not request.is_gang:
             stop_run(state, run, effects)
-    elif worker.entry.is_draining() or may_stop(state, run):
+    elif worker.entry.is_draining() or can_stop_long_running(state, run):
         stop_run(state, run, effects)
 
 
-def may_stop(state: PartitionState, run: Run) -> bool:
-    """Say whether a lasting task may be ended by us: so many others of its step may be away.
+def can_stop_long_running(state: PartitionState, run: Run) -> bool:
+    """Return whether stopping a long-running task keeps its step within `max_unavailable`.
 
-    Whether it is at work itself makes no difference: its worker tells that up to half a second
-    late, and to a new owner not at all before the first listing.
+    Whether the task itself is available isn't considered: its worker reports that with a delay,
+    and a new owner doesn't know it before the first listing.
     """
     step = run.task.step
     if step.request.max_unavailable is None:
         return True
-    return count_away(state, step, but=run.task) < max(1, step.request.max_unavailable)
+    return count_unavailable(state, step, excluding=run.task) < max(1, step.request.max_unavailable)
 
 
-def count_away(state: PartitionState, step: Step, *, but: Task) -> int:
-    """Count the other tasks of a lasting step that aren't at work, or aren't known to be."""
+def count_unavailable(state: PartitionState, step: Step, *, excluding: Task) -> int:
+    """Count the other tasks of a long-running step that aren't known to be available."""
     return sum(
         1
         for task in step.tasks
-        if task is not but and not any(_works(state, run) for run in task.runs)
+        if task is not excluding and not any(_is_available(state, run) for run in task.runs)
     )
 
 
-def _works(state: PartitionState, run: Run) -> bool:
+def _is_available(state: PartitionState, run: Run) -> bool:
     worker = state.workers.get(run.worker_id)
-    is_heard = worker is not None and not worker.is_silent
-    return is_heard and run.is_at_work and run.state is RunState.RUNNING
+    is_responsive = worker is not None and not worker.is_silent
+    return is_responsive and run.is_at_work and run.state is RunState.RUNNING
--- a/heatherkeel/dispatch/load.py
+++ b/heatherkeel/dispatch/load.py
@@ -1,4 +1,4 @@
-"""How full each pool of a partition is, for whoever moves machines."""
+"""Load reports of a partition's pools, for the owner of the fleet."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Room:
-    """What a worker has beside its lasting tasks, and its labels."""
+class _UsableCapacity:
+    """A worker's capacity without that of its long-running tasks, and its labels."""
 
     capacity: Capacity
     labels: list[str]
@@ -26,9 +26,8 @@
 def measure_pools(state: PartitionState) -> list[PoolLoad]:
     """Return the load of each pool.
 
-    Jobs that are worth nothing any more take the room that is left, and ask for no machine: after
-    a turn that was beyond the room, a pool asked for three times what there was, nearly all of it
-    for these, while the next pool in its turn lacked machines for jobs in time.
+    Jobs that are worth nothing any more request no machines: after an overload they would take
+    machines that other pools need for jobs in time.
     """
     return [_measure(pool, state.now_ms) for pool in state.pools.values()]
 
@@ -39,17 +38,17 @@
     used_memory_mb = sum(worker.used_memory_mb for worker in workers)
     waiting_cpu = waiting_memory_mb = lacking = 0
     needs: list[Need] = []
-    rooms = _list_rooms(pool)
+    capacities = _list_usable_capacities(pool)
     for step in pool.open_steps:
         count = len(step.waiting())
-        if count and len(needs) < MAX_NEEDS and not _has_worker(rooms, step.request):
-            needs.append(_make_need(step.request))
+        if count and len(needs) < MAX_NEEDS and not _can_any_worker_run(capacities, step.request):
+            needs.append(_create_need(step.request))
         if find_urgency(step, now_ms) is Urgency.WORTHLESS:
             continue
         waiting_cpu += 0 if step.request.fills else step.request.cpu * count
         waiting_memory_mb += step.request.memory_mb * count
         if step.request.lasts and count:
-            lacking = max(lacking, _workers_for(step.request, count, pool))
+            lacking = max(lacking, _count_workers_needed(step.request, count, pool))
     lasting = {
         worker.id: sum(1 for run in worker.runs.values() if run.task.step.request.lasts)
         for worker in workers
@@ -64,36 +63,36 @@
         arriving_cpu=pool.arriving_cpu(now_ms),
         arrivals=len(pool.arrivals),
         workers={worker.id: worker.used_cpu for worker in workers if worker.is_listed},
-        unheard=[worker.id for worker in workers if _is_unheard(worker, now_ms)],
+        unheard=[worker.id for worker in workers if _is_unavailable(worker, now_ms)],
         empty=[worker.id for worker in workers if worker.is_leaving and worker.is_empty()],
         lasting={worker_id: count for worker_id, count in lasting.items() if count},
     )
 
 
-def _is_unheard(worker: Worker, now_ms: int) -> bool:
-    """Say whether a worker is no room for jobs, though its machine is up for all others."""
+def _is_unavailable(worker: Worker, now_ms: int) -> bool:
+    """Return whether a listed worker is unresponsive or quarantined, so it offers no capacity."""
     if not worker.is_listed or worker.is_leaving:
         return False
     is_silent = worker.is_silent and now_ms - worker.silent_since_ms >= UNHEARD_MS
     return is_silent or worker.aside_until_ms > now_ms
 
 
-def _list_rooms(pool: Pool) -> list[_Room]:
-    """Return what each worker has for tasks that end, the largest first.
+def _list_usable_capacities(pool: Pool) -> list[_UsableCapacity]:
+    """Return each worker's capacity for tasks that end, the largest first.
 
-    What its lasting tasks take never becomes free by itself, so a task that is larger than the rest
-    would wait there for good.
+    Capacity of long-running tasks isn't freed by waiting, so a task that needs some of it would
+    wait forever.
     """
-    rooms = [
-        _measure_room(worker)
+    capacities = [
+        _measure_usable_capacity(worker)
         for worker in pool.workers.values()
         if worker.is_listed and not worker.is_leaving and not worker.entry.is_draining()
     ]
-    rooms.sort(key=lambda room: room.capacity.cpu, reverse=True)
-    return rooms
+    capacities.sort(key=lambda usable: usable.capacity.cpu, reverse=True)
+    return capacities
 
 
-def _measure_room(worker: Worker) -> _Room:
+def _measure_usable_capacity(worker: Worker) -> _UsableCapacity:
     cpu = memory_mb = gpu = 0
     for run in worker.runs.values():
         request = run.task.step.request
@@ -101,43 +100,46 @@
             cpu += 0 if request.fills else request.cpu
             memory_mb += request.memory_mb
             gpu += request.gpu
-    whole = worker.entry.capacity
-    left = Capacity(cpu=whole.cpu - cpu, memory_mb=whole.memory_mb - memory_mb, gpu=whole.gpu - gpu)
-    return _Room(capacity=left, labels=worker.entry.labels)
+    total = worker.entry.capacity
+    left = Capacity(cpu=total.cpu - cpu, memory_mb=total.memory_mb - memory_mb, gpu=total.gpu - gpu)
+    return _UsableCapacity(capacity=left, labels=worker.entry.labels)
 
 
-def _has_worker(rooms: list[_Room], step: StepRequest) -> bool:
-    """Say whether a worker could hold a task of a step once its short tasks have ended."""
+def _can_any_worker_run(capacities: list[_UsableCapacity], step: StepRequest) -> bool:
+    """Return whether any worker could run a task of a step once its other tasks have ended."""
     return any(
-        (not step.label or step.label in room.labels)
-        and (step.fills or step.cpu <= room.capacity.cpu)
-        and step.memory_mb <= room.capacity.memory_mb
-        and step.gpu <= room.capacity.gpu
-        for room in rooms
+        (not step.label or step.label in usable.labels)
+        and (step.fills or step.cpu <= usable.capacity.cpu)
+        and step.memory_mb <= usable.capacity.memory_mb
+        and step.gpu <= usable.capacity.gpu
+        for usable in capacities
     )
 
 
-def _make_need(step: StepRequest) -> Need:
+def _create_need(step: StepRequest) -> Need:
     cpu = 0 if step.fills else step.cpu
     return Need(label=step.label, cpu=cpu, memory_mb=step.memory_mb, gpu=step.gpu)
 
 
-def _workers_for(step: StepRequest, count: int, pool: Pool) -> int:
-    """Return how many empty workers hold so many tasks of a step.
+def _count_workers_needed(step: StepRequest, count: int, pool: Pool) -> int:
+    """Return how many empty workers can run this many tasks of a step.
 
-    Steps that wait at the same time can share them, unless their tasks are large; what is still
-    without room then asks again. Nothing is asked for tasks that are larger than any worker, or
-    that want a label: machines would come without end, and none of them might help.
+    The result is 0 for tasks that are larger than any worker, or that need a label: machines
+    would be added without limit, and none of them might help.
     """
-    most = max(
+    tasks_per_worker = max(
         (_count_fitting(step, worker.entry.capacity) for worker in pool.workers.values()), default=0
     )
-    if not most or step.label:
+    if not tasks_per_worker or step.label:
         return 0
-    return ceil(count / min(most, step.max_per_worker or count))
+    return ceil(count / min(tasks_per_worker, step.max_per_worker or count))
 
 
-def _count_fitting(step: StepRequest, room: Capacity) -> int:
-    """Return how many tasks of a step an empty worker holds; one that asks for nothing fits all."""
-    asked = ((step.cpu, room.cpu), (step.memory_mb, room.memory_mb), (step.gpu, room.gpu))
-    return min((has // wants for wants, has in asked if wants), default=step.count)
+def _count_fitting(step: StepRequest, capacity: Capacity) -> int:
+    """Return how many tasks of a step an empty worker holds; all, if they request nothing."""
+    demands = (
+        (step.cpu, capacity.cpu),
+        (step.memory_mb, capacity.memory_mb),
+        (step.gpu, capacity.gpu),
+    )
+    return min((available // demand for demand, available in demands if demand), default=step.count)
--- a/heatherkeel/dispatch/pacing.py
+++ b/heatherkeel/dispatch/pacing.py
@@ -1,4 +1,4 @@
-"""Paces tasks that fill down before they hurt tasks that serve beside them."""
+"""Slows down best-effort tasks before they affect serving tasks on the same worker."""
 
 from __future__ import annotations
 
@@ -20,22 +20,20 @@
 
 
 def pace_worker(state: PartitionState, worker: Worker, effects: Effects) -> None:
-    """Look at a worker's serving tasks, and change the pace of those that fill beside them.
+    """Adjust the pace of a worker's best-effort tasks to the tail latency of its serving tasks.
 
-    A serving task that is over its target for some seconds because of tasks that fill has failed
-    its users. Its tail is told for the last half second, so the pace is halved with each look at
-    a tail near the target, and after three looks, 1.5 s, nothing of it is left. It comes
-    back by a tenth at a time while there is room below the target.
+    The pace is halved, and finally set to 0, while a tail latency is near or over its target. It
+    is raised in small steps while all of them are well below.
     """
     if state.now_ms < worker.paced_ms + PACE_INTERVAL_MS:
         return
-    serving, filling = _split(worker)
-    if not serving or not filling:
+    serving, best_effort = _split_runs(worker)
+    if not serving or not best_effort:
         return
-    worst = max(run.figure / run.task.step.request.tail_target_ms for run in serving)
-    for run in filling:
-        wanted = choose_pace(run.pace, worst)
-        if wanted == run.pace:
+    worst_fraction = max(run.figure / run.task.step.request.tail_target_ms for run in serving)
+    for run in best_effort:
+        next_pace = choose_pace(run.pace, worst_fraction)
+        if next_pace == run.pace:
             continue
         _LOGGER.info(
             "pace changed",
@@ -43,38 +41,38 @@
                 "event": "pace",
                 "task": run.task.name,
                 "worker": worker.id,
-                "tail_share": round(worst, 2),
+                "tail_share": round(worst_fraction, 2),
                 "from": run.pace,
-                "to": wanted,
+                "to": next_pace,
             },
         )
-        run.pace = wanted
-        effects.add(PaceTask(run=run, percent=wanted))
+        run.pace = next_pace
+        effects.add(PaceTask(run=run, percent=next_pace))
     worker.paced_ms = state.now_ms
 
 
-def choose_pace(pace: int, tail_share: float) -> int:
-    """Return a filling task's next pace in percent, for a tail as a share of its target.
+def choose_pace(pace: int, tail_fraction: float) -> int:
+    """Return a best-effort task's next pace in percent, for a tail latency relative to its target.
 
-    A pace below 0 is unknown, since the last order wasn't answered; it is set anew.
+    A pace below 0 is unknown, since the last order wasn't answered; it counts as full pace.
     """
     known = FULL_PACE if pace < 0 else pace
-    if tail_share >= PACE_DOWN_SHARE:
+    if tail_fraction >= PACE_DOWN_SHARE:
         return 0 if known <= PACE_LOWEST else known // 2
-    if tail_share <= PACE_CALM_SHARE:
+    if tail_fraction <= PACE_CALM_SHARE:
         return min(FULL_PACE, known + PACE_CALM_STEP)
     return known
 
 
-def _split(worker: Worker) -> tuple[list[Run], list[Run]]:
-    """Return the tasks at work that serve under a target, and those that fill."""
-    serving, filling = [], []
+def _split_runs(worker: Worker) -> tuple[list[Run], list[Run]]:
+    """Return the running tasks that serve under a latency target, and the best-effort tasks."""
+    serving, best_effort = [], []
     for run in worker.runs.values():
         if run.state is not RunState.RUNNING:
             continue
         request = run.task.step.request
         if request.fills:
-            filling.append(run)
+            best_effort.append(run)
         elif request.tail_target_ms:
             serving.append(run)
-    return serving, filling
+    return serving, best_effort
--- a/heatherkeel/dispatch/placement.py
+++ b/heatherkeel/dispatch/placement.py
@@ -1,4 +1,4 @@
-"""Which waiting task goes to which worker, and in which order."""
+"""Placement of waiting tasks on workers."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from .pools import find_pool
 from .state import PartitionState, Pool
 from .suspicion import list_choices
-from .tickets import find_ticketed, needs_advice
+from .tickets import find_ticketed_workers, needs_advice
 
 
 def place_tasks(state: PartitionState, service: str, effects: Effects) -> None:
-    """Start waiting tasks of a service for which there is room."""
+    """Start waiting tasks of a service on workers with enough capacity."""
     pool = find_pool(state, service)
     if not pool.open_steps:
         return
@@ -25,25 +25,25 @@
         return
     sizes = [worker.entry.capacity.cpu / 1000 for worker in workers]
     pool.open_steps.set_capacity(cores=sum(sizes), largest_worker_cores=max(sizes))
-    misfits = 0
+    skipped = 0
     free_cpu = max(worker.free_cpu() for worker in workers)
     for step in pool.open_steps.in_order(state.now_ms):
-        # Most of what waits in a full pool is passed over by this alone.
-        has_room = step.request.fills or step.request.cpu <= free_cpu
-        if has_room and _place_step(state, pool, step, workers, effects):
+        # In a full pool this check alone skips most waiting steps.
+        has_capacity = step.request.fills or step.request.cpu <= free_cpu
+        if has_capacity and _place_step(state, pool, step, workers, effects):
             free_cpu = max(worker.free_cpu() for worker in workers)
             continue
-        misfits += 1
-        if misfits > MAX_MISFITS:
+        skipped += 1
+        if skipped > MAX_MISFITS:
             return
 
 
 def _place_step(
     state: PartitionState, pool: Pool, step: Step, workers: list[Worker], effects: Effects
 ) -> bool:
-    """Start what fits of a step; says whether anything did."""
+    """Start the tasks of a step that fit; returns whether any did or none is left to start."""
     if needs_advice(state, step):
-        workers = find_ticketed(state, step, workers, effects)
+        workers = find_ticketed_workers(state, step, workers, effects)
     waiting = step.waiting()
     if not waiting:
         pool.open_steps.discard(step)
@@ -54,7 +54,7 @@
     placed = 0
     holders = step.holders()
     for task in waiting:
-        worker = _choose_first(step, choices, holders)
+        worker = _choose_by_preference(step, choices, holders)
         if worker is None:
             break
         _plan_run(task, worker, task.attempt + 1)
@@ -64,8 +64,10 @@
     return placed > 0
 
 
-def _choose_first(step: Step, choices: list[list[Worker]], holders: set[str]) -> Worker | None:
-    """Return the worker for one more task of a step, from the best choice that has one."""
+def _choose_by_preference(
+    step: Step, choices: list[list[Worker]], holders: set[str]
+) -> Worker | None:
+    """Return the worker for one more task, from the most preferred group that has one."""
     for workers in choices:
         worker = choose_worker(step, workers, holders=holders)
         if worker is not None:
@@ -81,7 +83,7 @@
     choices: list[list[Worker]],
     effects: Effects,
 ) -> bool:
-    """Start all of a gang's tasks under one attempt, or none: part of a gang only waits."""
+    """Start all of a gang's tasks under one attempt, or none: a partial gang can't progress."""
     attempt = max(task.attempt for task in waiting) + 1
     saved = max((task.saved for task in waiting), key=len)
     groups = [group for workers in choices for group in _gang_groups(step.request, workers)]
@@ -106,7 +108,7 @@
 
 
 def _gang_groups(step: StepRequest, workers: list[Worker]) -> list[list[Worker]]:
-    """Return the groups of workers to try: racks first where tasks work best on one rack."""
+    """Return the groups of workers to try: each rack first, if the tasks should share one."""
     if not step.is_colocated:
         return [workers]
     racks: dict[str, list[Worker]] = {}
@@ -116,20 +118,16 @@
 
 
 def choose_worker(step: Step, workers: list[Worker], *, holders: set[str]) -> Worker | None:
-    """Return the worker for one more task of a step: one that has some of the step already.
+    """Return the worker for one more task of a step, preferably one that already runs some of it.
 
-    A job is done with its last task. With its tasks on the emptiest workers of the pool most jobs
-    in progress had one on whichever worker, rack or zone was lost or slow, and waited for it. On
-    as few workers as hold it, and in one zone, a job is rarely hit. Of several workers the one
-    with the most room left. Over ten days with such troubles the share of jobs that weren't served
-    fell from 0.052 to 0.048, and what the worst seconds earned rose from 0.28 to 0.31 of what they
-    were owed.
+    Few workers and one zone per step keep a job from waiting for a lost or slow worker, rack or
+    zone elsewhere. Of several such workers, the one with the most free processor is chosen.
 
-    `holders` are the workers that have some of the step. Looked up for each task, a step of
-    thousands of them would cost the square of that.
+    `holders` are the workers that run some of the step. The caller keeps them up to date: looking
+    them up for each task would take quadratic time.
     """
     if step.request.lasts:
-        return _choose_lasting(step, workers)
+        return _choose_long_running(step, workers)
     request = step.request
     zones = {worker.entry.zone for worker in workers if worker.id in holders}
     best: Worker | None = None
@@ -149,27 +147,27 @@
     return best
 
 
-def _choose_lasting(step: Step, workers: list[Worker]) -> Worker | None:
-    """Return the worker for a lasting task: one of few, each with a share of the step's tasks.
+def _choose_long_running(step: Step, workers: list[Worker]) -> Worker | None:
+    """Return the worker for a long-running task, so that few workers hold the step's tasks.
 
-    A machine with a lasting task can't be sent away, so the fewer have one, the fewer are paid
-    for between a pool's turns. Two of them, in different racks, keep half of the tasks at work
-    when one is lost. Machines that are soon to be maintained come last.
+    A machine with a long-running task can't be released between demand peaks, so few machines
+    should have one. No worker gets more than a fraction of the step, and racks are spread, so
+    that a lost one stops only some tasks. Machines that are due for maintenance come last.
     """
-    most = max(1, ceil(LASTING_SHARE * len(step.tasks)))
-    racks = {state_worker.rack() for state_worker in workers if step.runs_on(state_worker.id)}
+    limit = max(1, ceil(LASTING_SHARE * len(step.tasks)))
+    racks = {candidate.rack() for candidate in workers if step.runs_on(candidate.id)}
     best: Worker | None = None
     best_rank: tuple[bool, bool, bool, bool, int, str] | None = None
     for worker in workers:
         if not worker.fits(step.request) or not _is_allowed(step, worker):
             continue
-        here = step.runs_on(worker.id)
-        has_lasting = any(run.task.step.request.lasts for run in worker.runs.values())
+        tasks_here = step.runs_on(worker.id)
+        has_long_running = any(run.task.step.request.lasts for run in worker.runs.values())
         rank = (
             not worker.is_due,
-            here < most,
-            has_lasting,
-            here > 0 or worker.rack() not in racks,
+            tasks_here < limit,
+            has_long_running,
+            tasks_here > 0 or worker.rack() not in racks,
             worker.free_cpu(),
             worker.id,
         )
@@ -201,10 +199,10 @@
 
 
 def _start_planned(
-    state: PartitionState, pool: Pool, step: Step, is_all: bool, placed: int, effects: Effects
+    state: PartitionState, pool: Pool, step: Step, is_complete: bool, placed: int, effects: Effects
 ) -> None:
-    """Store the new attempts, and start them after that."""
-    if is_all:
+    """Store the new attempts, then start them."""
+    if is_complete:
         pool.open_steps.discard(step)
     if not placed:
         return
--- a/heatherkeel/dispatch/tickets.py
+++ b/heatherkeel/dispatch/tickets.py
@@ -1,4 +1,4 @@
-"""Tickets: which workers may run a step, where only the advisor knows."""
+"""Tickets: the advisor's permissions to run a step on a worker."""
 
 from __future__ import annotations
 
@@ -12,48 +12,50 @@
 
 
 def needs_advice(state: PartitionState, step: Step) -> bool:
-    """Say whether starts of a step need tickets."""
+    """Return whether a step needs tickets, since its queue has an advisor."""
     queue: Queue | None = state.queues.get(step.job.queue)
     return queue is not None and queue.advisor is not None
 
 
-def find_ticketed(
+def find_ticketed_workers(
     state: PartitionState, step: Step, workers: list[Worker], effects: Effects
 ) -> list[Worker]:
-    """Return the workers for which there is a good ticket; asks for others if none has room."""
-    good = [worker for worker in workers if _is_good(state, step, worker)]
-    if not any(worker.fits(step.request) for worker in good):
-        _ask(state, step, workers, effects)
-    return good
+    """Return the workers with a valid ticket; requests more if none of them has capacity."""
+    ticketed = [worker for worker in workers if _has_valid_ticket(state, step, worker)]
+    if not any(worker.fits(step.request) for worker in ticketed):
+        _request_advice(state, step, workers, effects)
+    return ticketed
 
 
-def _is_good(state: PartitionState, step: Step, worker: Worker) -> bool:
+def _has_valid_ticket(state: PartitionState, step: Step, worker: Worker) -> bool:
     ticket = step.tickets.get(worker.id)
     return ticket is not None and state.now_ms < ticket.until_ms - TICKET_MARGIN_MS
 
 
-def _ask(state: PartitionState, step: Step, workers: list[Worker], effects: Effects) -> None:
-    """Ask about the workers with the most room, once at a time.
+def _request_advice(
+    state: PartitionState, step: Step, workers: list[Worker], effects: Effects
+) -> None:
+    """Ask the advisor about the workers with the most free processor, one request at a time.
 
-    What is allowed doesn't change, so only workers are named that weren't refused before.
+    Permissions don't change, so workers that were refused before are left out.
     """
     if step.advice_asked_ms and state.now_ms - step.advice_asked_ms < ADVICE_RETRY_MS:
         return
     unknown = [
         worker
         for worker in workers
-        if worker.id not in step.barred and not _is_good(state, step, worker)
+        if worker.id not in step.barred and not _has_valid_ticket(state, step, worker)
     ]
     unknown.sort(key=lambda worker: (-worker.free_cpu(), worker.id))
-    named = tuple(worker.id for worker in unknown[:MAX_ADVISED])
-    if named:
+    worker_ids = tuple(worker.id for worker in unknown[:MAX_ADVISED])
+    if worker_ids:
         step.advice_asked_ms = state.now_ms
-        effects.add(AskAdvice(step=step, worker_ids=named))
+        effects.add(AskAdvice(step=step, worker_ids=worker_ids))
 
 
 @handles(AdviceTold)
-def take_advice(state: PartitionState, event: AdviceTold, effects: Effects) -> None:
-    """Take in tickets; workers that got none are not asked about again."""
+def apply_advice(state: PartitionState, event: AdviceTold, effects: Effects) -> None:
+    """Store received tickets; workers that got none aren't asked about again."""
     step = event.step
     if event.tickets is None:
         return
