--- a/heatherkeel/dispatch/inquiries.py
+++ b/heatherkeel/dispatch/inquiries.py
@@ -1,4 +1,4 @@
-"""What an owner asks others than its workers: which lives there are, and who may run a step."""
+"""An owner's queries to the list of machines and to the advisor."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Inquiries:
-    """Asks the list of machines and the advisor for one owner."""
+    """Queries the list of machines and the advisor for one owner."""
 
     def __init__(self, *, owner: PartitionOwner) -> None:
         self.owner = owner
@@ -36,17 +36,17 @@
         await self.machines.close()
         await self.advisor.close()
 
-    async def async_list_lives(self) -> None:
-        """Look at the list of machines for as long as a worker with tasks is silent."""
+    async def async_watch_machines(self) -> None:
+        """Read the list of machines while any worker with tasks is unresponsive."""
         while True:
             await trio.sleep(LIVES_INTERVAL_MS / 1000)
-            silent = [w for w in self.owner.state.workers.values() if w.is_silent and w.runs]
-            if not silent or not self.machines.caller.address:
+            unresponsive = [w for w in self.owner.state.workers.values() if w.is_silent and w.runs]
+            if not unresponsive or not self.machines.caller.address:
                 continue
             listed = await self.machines.async_list()
             if isinstance(listed, Err):
                 _LOGGER.info(
-                    "machines can't be listed; silent workers count until their leases lapse",
+                    "machines can't be listed; unresponsive workers stay until their leases expire",
                     extra={"event": "machines_unread", "detail": listed.err_value.detail},
                 )
                 continue
@@ -57,7 +57,7 @@
             )
 
     async def async_ask_advice(self, effect: AskAdvice) -> None:
-        """Ask one question after the other: the advisor handles one of a machine at a time."""
+        """Ask the advisor, which handles one request of an instance at a time."""
         step, workers = effect.step, list(effect.worker_ids)
         queue = self.owner.state.queues.get(step.job.queue)
         advisor = queue.advisor if queue else None
@@ -71,7 +71,7 @@
                 tickets, validity_ms = advice.tickets(), advice.validity_ms
             case Err(error):
                 _LOGGER.warning(
-                    "no advice",
+                    "advice request failed",
                     extra={"event": "no_advice", "step": step.name(), "detail": error.detail},
                 )
         now_ms, wall_ms = self.owner.times()
--- a/heatherkeel/dispatch/journal.py
+++ b/heatherkeel/dispatch/journal.py
@@ -1,4 +1,4 @@
-"""Writes a partition's records as its only writer, and does what waits for each to be stored."""
+"""Writes a partition's records as its only writer, and calls back once they are stored."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 _LOGGER = logging.getLogger(__name__)
 
 RETRY_PAUSE_S = 0.25
-"""Pause after an append that wasn't done or answered, in seconds."""
+"""Pause after an append that failed or wasn't answered, in seconds."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Batch:
-    """Records to be stored together, by key, and what waits for that.
+    """Records to be stored together, by key, and the callbacks to call after that.
 
-    A value is encoded only when its batch leaves: a job changes several times in between.
+    A value is encoded only when its batch is sent, since a job may change several times before.
     """
 
     records: dict[str, Callable[[], bytes]] = field(default_factory=dict)
-    waiting: list[Callable[[], None]] = field(default_factory=list)
+    callbacks: list[Callable[[], None]] = field(default_factory=list)
 
 
 class Journal:
-    """Group commit: while one append is on its way, the next batch gathers.
+    """Group commit: while one append is in flight, the next batch is collected.
 
-    An append without an answer is sent again under its sequence number, which the log takes
-    once. An owner whose partition has gone to another is refused by its lower epoch, so its
-    late records can't overwrite those of its successor.
+    An append without an answer is retried with the same sequence number, which the log accepts
+    only once. An earlier owner's late records are refused because of its lower epoch, so they
+    can't overwrite those of its successor.
     """
 
     def __init__(
@@ -55,28 +55,28 @@
         self.on_fenced = on_fenced
         self.sequence = 0
         self.batch = Batch()
-        self.wanted = trio.Event()
+        self.batch_ready = trio.Event()
         self.connected = True
 
     async def async_open(self) -> bool:
-        """Shut out all earlier owners; False if there is a later one."""
+        """Fence all earlier owners; False if there is a later one."""
         return await self._async_append([])
 
     def put(self, key: str, encode: Callable[[], bytes]) -> None:
         """Store a record with the next append."""
         self.batch.records[key] = encode
-        self.wanted.set()
+        self.batch_ready.set()
 
     def when_stored(self, callback: Callable[[], None]) -> None:
-        """Call back once everything that was put so far is stored."""
-        self.batch.waiting.append(callback)
-        self.wanted.set()
+        """Call a function once all records put so far are stored."""
+        self.batch.callbacks.append(callback)
+        self.batch_ready.set()
 
     async def async_run(self) -> None:
         """Write batches until cancelled or fenced."""
         while True:
-            await self.wanted.wait()
-            self.wanted = trio.Event()
+            await self.batch_ready.wait()
+            self.batch_ready = trio.Event()
             batch, self.batch = self.batch, Batch()
             records = [
                 KeyedRecord(key=key, value=encode()) for key, encode in batch.records.items()
@@ -84,11 +84,11 @@
             for start in range(0, len(records), MAX_APPEND_RECORDS):
                 if not await self._async_append(records[start : start + MAX_APPEND_RECORDS]):
                     return
-            for callback in batch.waiting:
+            for callback in batch.callbacks:
                 callback()
 
     async def _async_append(self, records: list[KeyedRecord]) -> bool:
-        """Append once, however often it takes; False if somebody else owns the partition."""
+        """Append exactly once, with retries; False if another instance owns the partition."""
         while True:
             producer = Producer(name=PRODUCER, epoch=self.token, sequence=self.sequence)
             appended = await self.store.async_append(
@@ -96,7 +96,7 @@
             )
             if isinstance(appended, Ok):
                 self.sequence += 1
-                self._tell_connected(True, "")
+                self._update_connected(True, "")
                 return True
             error = appended.err_value
             if error.failure is Failure.FENCED:
@@ -107,15 +107,15 @@
                 self.on_fenced()
                 return False
             if error.failure is Failure.OUT_OF_ORDER:
-                if self._take_expected(error):
+                if self._resync_sequence(error):
                     return True
                 continue
-            self._tell_connected(False, error.detail)
+            self._update_connected(False, error.detail)
             await trio.sleep(RETRY_PAUSE_S)
 
-    def _take_expected(self, error: CallError) -> bool:
-        """Go on from the sequence number that the log expects; says whether ours was taken."""
-        was_taken = error.number == self.sequence + 1
+    def _resync_sequence(self, error: CallError) -> bool:
+        """Adopt the sequence number that the log expects; returns whether the append was stored."""
+        was_stored = error.number == self.sequence + 1
         _LOGGER.warning(
             "log expects another sequence number",
             extra={
@@ -126,9 +126,9 @@
             },
         )
         self.sequence = error.number
-        return was_taken
+        return was_stored
 
-    def _tell_connected(self, connected: bool, detail: str) -> None:
+    def _update_connected(self, connected: bool, detail: str) -> None:
         if connected == self.connected:
             return
         self.connected = connected
--- a/heatherkeel/dispatch/metrics.py
+++ b/heatherkeel/dispatch/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of what owners decide."""
+"""Metrics of partition owners."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class DispatchMetrics:
-    """What is counted as it happens; every reason shows from the start as 0."""
+    """Counters of lost runs and given-up jobs; every reason is exported from the start."""
 
     def __init__(self, *, registry: CollectorRegistry) -> None:
         self.losses = Counter(
--- a/heatherkeel/dispatch/orders.py
+++ b/heatherkeel/dispatch/orders.py
@@ -1,4 +1,4 @@
-"""Answers to orders, and what an order without an answer means."""
+"""Handles the answers to orders, and orders that weren't answered."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 _LOGGER = logging.getLogger(__name__)
 
 NO_TICKET = "ticket"
-"""Why a worker refuses a start whose ticket is missing, or not good any more."""
-NO_ROOM = "room"
-"""Why a worker that guards its room refuses a start that doesn't fit."""
-_NOT_REACHED = frozenset({Failure.REFUSED, Failure.UNKNOWN})
+"""A worker's refusal of a start whose ticket is missing or has expired."""
+NO_CAPACITY = "room"
+"""The refusal of a start that doesn't fit, by a worker that enforces its capacity."""
+_UNREACHABLE = frozenset({Failure.REFUSED, Failure.UNKNOWN})
 _NOT_DONE = frozenset(
     {Failure.REFUSED, Failure.INVALID, Failure.RESERVED, Failure.OTHER_INSTANCE, Failure.FENCED}
 )
 
 
 @handles(StartAnswered)
-def take_start_answer(state: PartitionState, event: StartAnswered, effects: Effects) -> None:
-    """Take in how a start went.
+def handle_start_answer(state: PartitionState, event: StartAnswered, effects: Effects) -> None:
+    """Handle the result of a start.
 
-    Without an answer it may be carried out seconds later, on top of a second run elsewhere. A
-    stop makes the worker refuse it from then on, so the task is stopped there, and waits again
-    when the worker has said so. A lasting task may be at work by now, and a stop would take it
-    from its users: it is stopped only if the next listing doesn't show it.
+    A start without an answer may be carried out seconds later, beside a second run elsewhere. So
+    the task is stopped there, which makes the worker refuse a late start, and waits again once the
+    worker has confirmed that. A long-running task is stopped only if the next listing doesn't
+    show it, since it may already serve its users.
     """
     run = event.run
     if run not in run.task.runs:
@@ -62,12 +62,12 @@
         lose_run(state, run, effects, reason=LossReason.START_NOT_DONE)
         end_life(state, worker, effects, reason=LossReason.ADDRESS_TAKEN)
         return
-    if worker is not None and event.error.failure in _NOT_REACHED:
-        # The emptiest worker of a pool would be tried again at once, and again.
+    if worker is not None and event.error.failure in _UNREACHABLE:
+        # Otherwise the emptiest worker of a pool would be tried again and again.
         fall_silent(state, worker, effects, detail=event.error.detail)
-    if worker is not None and _is_refused_for_some_time(event.error):
-        # Its room has shrunk, and its entry doesn't say so yet, or it can't read the order. Still
-        # the emptiest of its pool, it would be sent the same start every few milliseconds.
+    if worker is not None and _is_refusal_persistent(event.error):
+        # Its capacity has shrunk and its entry doesn't say so yet, or it can't read the order.
+        # Without a pause it would be sent the same start every few milliseconds.
         worker.full_until_ms = state.now_ms + FULL_PAUSE_MS
     if event.error.detail == NO_TICKET:
         run.task.step.tickets.pop(run.worker_id, None)
@@ -83,14 +83,14 @@
         stop_run(state, run, effects)
 
 
-def _is_refused_for_some_time(error: CallError) -> bool:
-    """Say whether the same start would be refused again for some time."""
-    return error.detail == NO_ROOM or error.failure is Failure.INVALID
+def _is_refusal_persistent(error: CallError) -> bool:
+    """Return whether the worker would refuse the same start again for some time."""
+    return error.detail == NO_CAPACITY or error.failure is Failure.INVALID
 
 
 @handles(StopAnswered)
-def take_stop_answer(state: PartitionState, event: StopAnswered, effects: Effects) -> None:
-    """Take in how a stop went; one without an answer is sent again while the worker lives."""
+def handle_stop_answer(state: PartitionState, event: StopAnswered, effects: Effects) -> None:
+    """Handle the result of a stop; it is sent again if it failed, while the worker is known."""
     run = event.run
     if run not in run.task.runs:
         return
--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -60,7 +60,7 @@
 
 
 class PartitionOwner:
-    """Feeds the reducer with what happens, and carries its effects out."""
+    """Passes events to the reducer, and carries out its effects."""
 
     def __init__(
         self,
@@ -90,17 +90,17 @@
         self.entry_age_ms = (
             settings.bounds.stable_window_ms + settings.heartbeat_ms - ENTRY_MARGIN_MS
         )
-        """How old a worker's entry may be for starts, in milliseconds."""
+        """How old a worker's entry may be for starts on it, in milliseconds."""
         self.journal = Journal(store=store, partition=partition, token=token, on_fenced=on_fenced)
         self.sessions: dict[str, WorkerSession] = {}
-        self.unsent: dict[str, list[Effect]] = {}
-        """Orders for workers that can't be called yet, such as stops decided in recovery."""
+        self.pending_orders: dict[str, list[Effect]] = {}
+        """Orders for workers without a session yet, such as stops decided in recovery."""
         self.scope = trio.CancelScope()
         self.nursery: trio.Nursery | None = None
         self.is_restored = False
         self.inquiries = Inquiries(owner=self)
-        self.dropper = RequestDropper(store=store, partition=partition)
-        self.jobs_end = 0
+        self.request_dropper = RequestDropper(store=store, partition=partition)
+        self.jobs_end_offset = 0
         self.follower: TopicFollower | None = None
 
     async def async_run(self) -> None:
@@ -109,37 +109,37 @@
             await self._async_restore()
             async with trio.open_nursery() as nursery:
                 self.nursery = nursery
-                self.directory.subscribe(self._take_directory)
+                self.directory.subscribe(self._update_from_directory)
                 nursery.start_soon(self.journal.async_run)
                 nursery.start_soon(self._async_follow_jobs)
-                nursery.start_soon(self.dropper.async_run)
+                nursery.start_soon(self.request_dropper.async_run)
                 nursery.start_soon(self._async_tick)
-                nursery.start_soon(self.inquiries.async_list_lives)
-                self._take_directory()
+                nursery.start_soon(self.inquiries.async_watch_machines)
+                self._update_from_directory()
         with trio.CancelScope(shield=True):
             await self.inquiries.close()
-        if self._take_directory in self.directory.subscribers:
-            self.directory.unsubscribe(self._take_directory)
+        if self._update_from_directory in self.directory.subscribers:
+            self.directory.unsubscribe(self._update_from_directory)
 
     def close(self) -> None:
-        """Give the partition up: no order leaves after this."""
+        """Release the partition: no order is sent after this."""
         self.scope.cancel()
         for session in self.sessions.values():
             session.close()
 
     def may_order(self) -> bool:
-        """Say whether nobody else can own the partition yet.
+        """Return whether no other instance can own the partition yet.
 
-        Leases are renewed for as long only: the next owner counts on that. They outlast the
-        membership by some seconds, so that usual outages of the store end no task.
+        Leases are renewed only while this holds: the next owner relies on that. They outlast the
+        membership by some seconds, so that short outages of the store end no task.
         """
         return self.tenure.is_valid(monotonic_ms())
 
     def is_current(self) -> bool:
-        """Say whether what isn't known here isn't stored either, but for the last moments.
+        """Return whether the state includes all jobs that are stored, except for very recent ones.
 
-        An owner that the store turns away doesn't hear of jobs that others accept meanwhile, and
-        must not tell callers that there are none.
+        An owner without access to the store doesn't learn of jobs that others accept meanwhile,
+        and must not report to callers that these don't exist.
         """
         follower = self.follower
         return (
@@ -150,45 +150,45 @@
         )
 
     def times(self) -> tuple[int, int]:
-        """Return the steady clock and the wall clock, in milliseconds."""
+        """Return the monotonic clock and the wall clock, in milliseconds."""
         return monotonic_ms(), wall_ms()
 
     def take(self, event: Event) -> None:
-        """Let the reducer decide, and carry out what it says."""
+        """Pass an event to the reducer, and carry out the effects."""
         for effect in reduce_event(self.state, event):
-            self._perform(effect)
+            self._execute(effect)
 
     def take_leaving(self, worker_ids: frozenset[str], *, due: frozenset[str]) -> None:
-        """Empty these workers, and no others; those that are due follow later."""
+        """Set the workers to empty now, and those that are due later."""
         now_ms, wall_ms = self.times()
         self.take(WorkersLeaving(now_ms=now_ms, wall_ms=wall_ms, worker_ids=worker_ids, due=due))
 
     async def _async_restore(self) -> None:
-        """Shut earlier owners out, and read what they have stored."""
-        began_ms = monotonic_ms()
+        """Fence earlier owners, and restore the state from their records."""
+        started_ms = monotonic_ms()
         await self.directory.operator.caught_up.wait()
         await self.directory.workers.caught_up.wait()
         if not await self.journal.async_open():
             await trio.sleep_forever()
         work = await async_read_whole(self.store, WORK_TOPIC, self.partition)
         jobs = await async_read_whole(self.store, JOBS_TOPIC, self.partition)
-        self.jobs_end = jobs.end
+        self.jobs_end_offset = jobs.end
         now_ms, wall_ms = self.times()
         self.state.now_ms, self.state.wall_ms = now_ms, wall_ms
-        self._take_directory()
+        self._update_from_directory()
         stored = read_records(work.records + jobs.records)
         restore_jobs(self.state, stored)
         self._submit_stored(stored)
         self.is_restored = True
         _LOGGER.info(
-            "partition taken over",
+            "partition is owned by this instance",
             extra={
                 "event": "partition_owned",
                 "partition": self.partition,
                 "token": self.state.token,
                 "jobs": len(self.state.jobs),
                 "ended_jobs": len(self.state.finished),
-                "took_ms": monotonic_ms() - began_ms,
+                "took_ms": monotonic_ms() - started_ms,
             },
         )
 
@@ -202,7 +202,7 @@
             if job.id in stored.requests and not job.has_runs():
                 effects.add(ForgetJob(job_id=job.id, only_request=True))
         for effect in effects.items:
-            self._perform(effect)
+            self._execute(effect)
         now_ms, wall_ms = self.times()
         for job_id in stored.canceled:
             self.take(JobCanceled(now_ms=now_ms, wall_ms=wall_ms, job_id=job_id))
@@ -221,8 +221,8 @@
             )
         )
 
-    def _take_directory(self) -> None:
-        """Hand on the queues and the workers of this partition's services."""
+    def _update_from_directory(self) -> None:
+        """Update the queues and this partition's workers from the directory."""
         known = self.directory.state
         now_ms, wall_ms = self.times()
         if known.queues is not self.state.queues:
@@ -236,7 +236,7 @@
         self._open_sessions()
 
     def owns(self, worker_id: str, entry: WorkerEntry) -> bool:
-        """Say whether a worker belongs to this partition."""
+        """Return whether a worker belongs to this partition."""
         service = self.directory.state.services.get(entry.service)
         if service is not None and service.is_standby:
             return False
@@ -256,27 +256,27 @@
             if worker.id not in self.sessions and worker.entry.address:
                 session = WorkerSession(owner=self, worker=worker)
                 self.sessions[worker.id] = session
-                for effect in self.unsent.pop(worker.id, []):
+                for effect in self.pending_orders.pop(worker.id, []):
                     session.give(effect)
                 self.nursery.start_soon(session.async_run)
         for worker_id in self.sessions.keys() - self.state.workers.keys():
             self.sessions.pop(worker_id).close()
-        for worker_id in self.unsent.keys() - self.state.workers.keys():
-            del self.unsent[worker_id]
+        for worker_id in self.pending_orders.keys() - self.state.workers.keys():
+            del self.pending_orders[worker_id]
 
     async def _async_follow_jobs(self) -> None:
         self.follower = follower = TopicFollower(
             store=self.store,
             topic=JOBS_TOPIC,
             partition=self.partition,
-            take=self._take_job_records,
+            take=self._handle_job_records,
             keep_only=lambda keys: None,
             wait_ms=FOLLOW_WAIT_MS,
         )
-        follower.next_offset = self.jobs_end
+        follower.next_offset = self.jobs_end_offset
         await follower.async_run()
 
-    def _take_job_records(self, records: list[KeyedRecord]) -> None:
+    def _handle_job_records(self, records: list[KeyedRecord]) -> None:
         stored = read_records(records)
         for job_id, request in stored.requests.items():
             self._submit(job_id, request)
@@ -295,7 +295,7 @@
             self._open_sessions()
 
     def _find_outdated(self, now_ms: int) -> frozenset[str]:
-        """Return the workers whose rooms may have shrunk so long ago that it counts by now."""
+        """Return the workers whose entries are too old to rely on their capacity."""
         since_ms = now_ms - self.entry_age_ms
         heard_ms = self.directory.state.heard_ms
         return frozenset(
@@ -304,18 +304,18 @@
             if heard_ms.get(worker_id, now_ms) < since_ms
         )
 
-    def _perform(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case SaveJob():
                 job = self.state.find_job(effect.job_id)
                 if job is not None:
                     self.journal.put(f"{PROGRESS_PREFIX}{job.id}", partial(encode_progress, job))
             case ForgetJob():
-                self._forget(effect)
+                self._delete_records(effect)
             case StartTask() | StopTask(once_stored=True):
-                self.journal.when_stored(lambda: self._order(effect.run.worker_id, effect))
+                self.journal.when_stored(lambda: self._send_order(effect.run.worker_id, effect))
             case StopTask() | PaceTask():
-                self._order(effect.run.worker_id, effect)
+                self._send_order(effect.run.worker_id, effect)
             case OpenSessions():
                 self._open_sessions()
             case AskAdvice():
@@ -328,12 +328,12 @@
             case AcknowledgeEnds():
                 self.journal.when_stored(lambda: self._acknowledge(effect))
 
-    def _order(self, worker_id: str, effect: Effect) -> None:
+    def _send_order(self, worker_id: str, effect: Effect) -> None:
         session = self.sessions.get(worker_id)
         if session is not None:
             session.give(effect)
         else:
-            self.unsent.setdefault(worker_id, []).append(effect)
+            self.pending_orders.setdefault(worker_id, []).append(effect)
 
     def _acknowledge(self, effect: AcknowledgeEnds) -> None:
         worker = effect.worker
@@ -342,9 +342,9 @@
             worker.acknowledged = max(worker.acknowledged, effect.number)
             session.take_stored()
 
-    def _forget(self, effect: ForgetJob) -> None:
-        """Drop records that nothing needs any more, the request only after the end is stored."""
+    def _delete_records(self, effect: ForgetJob) -> None:
+        """Delete unneeded records; a request only after the end of its job is stored."""
         if not effect.only_request:
             self.journal.put(f"{PROGRESS_PREFIX}{effect.job_id}", bytes)
             return
-        self.journal.when_stored(lambda: self.dropper.drop(effect.job_id))
+        self.journal.when_stored(lambda: self.request_dropper.drop(effect.job_id))
--- a/heatherkeel/dispatch/records.py
+++ b/heatherkeel/dispatch/records.py
@@ -1,4 +1,4 @@
-"""What is stored of jobs: what callers sent, and how far each job is."""
+"""Stored records of jobs: their requests, cancellations and progress."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class StoredRequest(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A job as its caller sent it, with when it was accepted (milliseconds since 1970)."""
+    """A job as its caller sent it, with its time of acceptance in milliseconds since 1970."""
 
     queue: str
     service: str
@@ -27,7 +27,7 @@
 
 
 class StoredTask(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A task that has been started: its highest attempt, and where it runs, if anywhere."""
+    """A task that has been started: its highest attempt, and its runs, if any."""
 
     occurrence: int
     step: int
@@ -37,32 +37,32 @@
     is_done: bool
     saved: str
     runs: list[tuple[int, str, bool]]
-    """Attempt and worker of each run that may still be there, and whether it is being stopped."""
+    """Attempt and worker of each run that may still exist, and whether it is being stopped."""
     crashes: int = 0
-    """How many workers were lost in a row under it."""
+    """Number of workers that were lost in a row while running it."""
     lives: list[int] = []
-    """When the life of each run's worker began, in the order of the runs; 0 if that isn't known."""
+    """Start time of each run's worker incarnation, in the order of the runs; 0 if unknown."""
 
 
 class StoredProgress(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """How far a job is; of one that has ended only tasks are kept that may still run."""
+    """A job's progress; for an ended job, only tasks that may still run."""
 
     state: JobState
     queue: str
     service: str
     accepted_wall_ms: int
     begun: int = 0
-    """How many occurrences have begun."""
+    """Number of occurrences that have begun."""
     tasks: list[StoredTask] = []
 
 
 def encode_request(stored: StoredRequest) -> bytes:
-    """Return the record of a submission."""
+    """Encode the record of a submission."""
     return msgspec.json.encode(stored)
 
 
 def decode_request(value: bytes) -> Result[StoredRequest, str]:
-    """Read the record of a submission."""
+    """Decode the record of a submission."""
     try:
         return Ok(msgspec.json.decode(value, type=StoredRequest))
     except (ValueError, RecursionError) as err:
@@ -70,7 +70,7 @@
 
 
 def encode_progress(job: Job) -> bytes:
-    """Return the record of how far a job is."""
+    """Encode the record of a job's progress."""
     return msgspec.json.encode(
         StoredProgress(
             state=job.state,
@@ -78,20 +78,20 @@
             service=job.service,
             accepted_wall_ms=job.accepted_wall_ms,
             begun=len(job.occurrences),
-            tasks=_store_tasks(job),
+            tasks=_create_stored_tasks(job),
         )
     )
 
 
 def decode_progress(value: bytes) -> Result[StoredProgress, str]:
-    """Read the record of how far a job is."""
+    """Decode the record of a job's progress."""
     try:
         return Ok(msgspec.json.decode(value, type=StoredProgress))
     except (ValueError, RecursionError) as err:
         return Err(str(err))
 
 
-def _store_tasks(job: Job) -> list[StoredTask]:
+def _create_stored_tasks(job: Job) -> list[StoredTask]:
     has_ended = job.state.is_final()
     return [
         StoredTask(
@@ -115,7 +115,7 @@
 
 
 def restore_progress(job: Job, stored: StoredProgress, *, begins_ms: float) -> list[Run]:
-    """Bring a job to its stored progress; returns the runs that may still be at a worker."""
+    """Restore a job's progress from its record; returns the runs that may still exist."""
     job.state = stored.state
     for occurrence in range(stored.begun):
         if occurrence not in job.occurrences:
@@ -132,8 +132,8 @@
         job.crashes = max(job.crashes, task.crashes)
         step.done += record.is_done
         for number, (attempt, worker_id, is_stopping) in enumerate(record.runs):
-            # An order that its owner didn't see answered counts as answered here: once the new
-            # token is known at the worker, a late order under the old one is refused there.
+            # An unanswered order of an earlier owner counts as answered here: once the worker
+            # knows the new token, it refuses late orders under the old one.
             run = Run(
                 task=task,
                 attempt=attempt,
@@ -144,11 +144,11 @@
             )
             task.runs.append(run)
             runs.append(run)
-    _open_steps(job)
+    _update_open_steps(job)
     return runs
 
 
-def _open_steps(job: Job) -> None:
+def _update_open_steps(job: Job) -> None:
     for steps in job.occurrences.values():
         for step in steps:
             step.is_open = all(steps[earlier].is_done() for earlier in step.request.depends_on)
--- a/heatherkeel/dispatch/recovery.py
+++ b/heatherkeel/dispatch/recovery.py
@@ -1,4 +1,4 @@
-"""Rebuilds a partition from what is stored about it."""
+"""Restores a partition's state from its stored records."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class StoredJobs:
-    """What stands in the store about a partition's jobs, by job."""
+    """The stored records of a partition's jobs, by job ID."""
 
     requests: dict[str, StoredRequest] = field(default_factory=dict)
     progress: dict[str, StoredProgress] = field(default_factory=dict)
@@ -44,34 +44,34 @@
 
 
 def read_records(records: list[KeyedRecord]) -> StoredJobs:
-    """Sort records by what they tell; those that can't be read are logged and left."""
+    """Decode records by kind; those that can't be decoded are logged and skipped."""
     stored = StoredJobs()
     for record in sorted(records, key=lambda record: record.offset):
         if not record.value:
             continue
         kind, job_id = record.key[:1], record.key[1:]
         if kind == REQUEST_PREFIX:
-            _keep(decode_request(record.value), stored.requests, job_id)
+            _add_decoded(decode_request(record.value), stored.requests, job_id)
         elif kind == PROGRESS_PREFIX:
-            _keep(decode_progress(record.value), stored.progress, job_id)
+            _add_decoded(decode_progress(record.value), stored.progress, job_id)
         elif kind == CANCEL_PREFIX:
             stored.canceled.add(job_id)
     return stored
 
 
-def _keep(decoded: Result[RecordT, str], kept: dict[str, RecordT], job_id: str) -> None:
+def _add_decoded(decoded: Result[RecordT, str], records: dict[str, RecordT], job_id: str) -> None:
     match decoded:
         case Ok(record):
-            kept[job_id] = record
+            records[job_id] = record
         case Err(detail):
             _LOGGER.error(
-                "a stored record can't be read",
+                "stored record can't be decoded",
                 extra={"event": "record_unreadable", "job": job_id, "detail": detail},
             )
 
 
 def restore_jobs(state: PartitionState, stored: StoredJobs) -> None:
-    """Bring back every job with stored progress, in the order in which they were accepted."""
+    """Restore every job with stored progress, in the order of acceptance."""
     in_order = sorted(stored.progress.items(), key=lambda item: item[1].accepted_wall_ms)
     for job_id, progress in in_order:
         request = stored.requests.get(job_id)
@@ -79,7 +79,7 @@
             state.finished[job_id] = _restore_ended(state, job_id, progress)
         elif request is None:
             _LOGGER.error(
-                "a job has progress but no request; it can't go on",
+                "stored job has progress but no request; it can't be restored",
                 extra={"event": "request_missing", "job": job_id},
             )
         else:
@@ -112,21 +112,20 @@
         accepted_wall_ms=progress.accepted_wall_ms,
     )
     set_objective(job, state.queues.get(job.queue))
-    kept = state.finished if progress.state.is_final() else state.jobs
-    kept[job_id] = job
+    jobs = state.finished if progress.state.is_final() else state.jobs
+    jobs[job_id] = job
     job.ended_ms = state.now_ms if progress.state.is_final() else None
     for run in restore_progress(job, progress, begins_ms=float(job.accepted_ms)):
-        _put_on_worker(state, run, job.service)
+        _add_to_worker(state, run, job.service)
     for step in job.steps():
         if not step.is_done():
             wait_for_room(state, step)
 
 
-def _put_on_worker(state: PartitionState, run: Run, service: str) -> None:
-    """Count a run at its worker until the worker, or the end of its lease, says what it is.
+def _add_to_worker(state: PartitionState, run: Run, service: str) -> None:
+    """Add a run to its worker until the worker lists its tasks, or the lease has expired.
 
-    The earlier owner may have renewed leases for as long as its membership was good, if it
-    couldn't know that it was shut out.
+    The earlier owner may have renewed the lease until its own membership expired.
     """
     worker = state.workers.get(run.worker_id)
     if worker is None:
--- a/heatherkeel/dispatch/ticks.py
+++ b/heatherkeel/dispatch/ticks.py
@@ -1,4 +1,4 @@
-"""What comes due with time alone."""
+"""Handles changes that depend on time alone."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 @handles(Tick)
-def take_tick(state: PartitionState, event: Tick, effects: Effects) -> None:
-    """Begin what is due, give up workers whose leases have lapsed, forget old jobs."""
+def handle_tick(state: PartitionState, event: Tick, effects: Effects) -> None:
+    """Begin due occurrences, drop workers whose leases have expired, and forget old jobs."""
     state.can_start = event.can_start
     take_outdated(state, event.outdated, effects)
-    _end_leaving(state, effects)
+    _expire_leaving(state, effects)
     for job in state.jobs.values():
         if job.request.repeat_count:
             begin_due_occurrences(state, job, effects)
@@ -31,8 +31,8 @@
             effects.touch(pool.service)
 
 
-def _end_leaving(state: PartitionState, effects: Effects) -> None:
-    """Use workers again that nobody takes away any more, as when the fleet's owner is gone."""
+def _expire_leaving(state: PartitionState, effects: Effects) -> None:
+    """Use workers again if the fleet's owner has stopped reporting that they leave."""
     if state.now_ms - state.leaving_ms < LEAVING_MS:
         return
     for worker in state.workers.values():
