--- a/heatherkeel/dispatch/events.py
+++ b/heatherkeel/dispatch/events.py
@@ -97,7 +97,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LivesListed(Event):
+class IncarnationsListed(Event):
     """The list of machines reports these worker incarnations as up."""
 
     worker_ids: frozenset[str]
--- a/heatherkeel/dispatch/inquiries.py
+++ b/heatherkeel/dispatch/inquiries.py
@@ -13,7 +13,7 @@
 from heatherkeel.platform.machines import MachineClient
 
 from .const import LIVES_INTERVAL_MS
-from .events import AdviceTold, AskAdvice, LivesListed
+from .events import AdviceTold, AskAdvice, IncarnationsListed
 
 if TYPE_CHECKING:
     from .owner import PartitionOwner
@@ -53,7 +53,7 @@
             alive = [m.worker_id for m in listed.ok_value if m.is_up() and m.worker_id]
             now_ms, wall_ms = self.owner.times()
             self.owner.take(
-                LivesListed(now_ms=now_ms, wall_ms=wall_ms, worker_ids=frozenset(alive))
+                IncarnationsListed(now_ms=now_ms, wall_ms=wall_ms, worker_ids=frozenset(alive))
             )
 
     async def async_ask_advice(self, effect: AskAdvice) -> None:
--- a/heatherkeel/dispatch/lives.py
+++ b/heatherkeel/dispatch/lives.py
@@ -6,7 +6,7 @@
 
 from .const import SILENT_MS, SLOWEST_CLOCK
 from .ends import lose_run
-from .events import Effects, LivesListed, OpenSessions, StopTask
+from .events import Effects, IncarnationsListed, OpenSessions, StopTask
 from .models import LossReason, Run, RunState, Worker
 from .pools import find_pool
 from .registry import handles
@@ -93,8 +93,8 @@
     drop_worker(state, worker, effects, reason=reason)
 
 
-@handles(LivesListed)
-def take_lives(state: PartitionState, event: LivesListed, effects: Effects) -> None:
+@handles(IncarnationsListed)
+def take_lives(state: PartitionState, event: IncarnationsListed, effects: Effects) -> None:
     """Give up silent workers whose machines are in another life by now, or down.
 
     A worker that was cut off, and runs on, is still named there.
--- a/tests/dispatch/crashing_pool.py
+++ b/tests/dispatch/crashing_pool.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from heatherkeel.dispatch.const import LEASE_MS, LIVES_INTERVAL_MS, TICK_MS, WATCH_WAIT_MS
-from heatherkeel.dispatch.events import LivesListed, StartTask, StopAnswered, StopTask
+from heatherkeel.dispatch.events import IncarnationsListed, StartTask, StopAnswered, StopTask
 from heatherkeel.dispatch.models import Job, JobState, Run, RunState
 from heatherkeel.platform.errors import Failure
 from heatherkeel.platform.workers import EndedTask, RunningTask
@@ -86,7 +86,7 @@
                 partition.tick(0)
             if ms % LIVES_INTERVAL_MS == 0:
                 alive = frozenset(self.alive)
-                partition.give(LivesListed(**partition.at(), worker_ids=alive))
+                partition.give(IncarnationsListed(**partition.at(), worker_ids=alive))
         return self._sum_up()
 
     def _submit(self) -> None:
--- a/tests/dispatch/test_crashing_tasks.py
+++ b/tests/dispatch/test_crashing_tasks.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from heatherkeel.dispatch.const import LEASE_MS, PROVEN_MS, SILENT_MS
-from heatherkeel.dispatch.events import LivesListed
+from heatherkeel.dispatch.events import IncarnationsListed
 from heatherkeel.dispatch.models import JobState, Run, RunState
 from heatherkeel.platform.callers import StepRequest
 from heatherkeel.platform.errors import Failure
@@ -60,7 +60,7 @@
         partition.list_workers()
         partition.answer(f"w{self.lives}")
         alive = frozenset(partition.entries)
-        partition.give(LivesListed(**partition.at(), worker_ids=alive))
+        partition.give(IncarnationsListed(**partition.at(), worker_ids=alive))
 
 
 def play(partition: Partition, *steps: StepRequest, turns: int = 12) -> CrashingFleet:
--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from heatherkeel.dispatch.const import GREY_PAUSE_MS, LEASE_MS, LEAVING_MS, SILENT_MS, STANDING_MS
-from heatherkeel.dispatch.events import LivesListed, Tick
+from heatherkeel.dispatch.events import IncarnationsListed, Tick
 from heatherkeel.dispatch.models import JobState, Run
 from heatherkeel.platform.errors import Failure
 from heatherkeel.platform.workers import RunningTask
@@ -226,7 +226,7 @@
     partition.effects.clear()
     partition.fail("w0")
     partition.now_ms += SILENT_MS
-    partition.give(LivesListed(**partition.at(), worker_ids=frozenset({"w1"})))
+    partition.give(IncarnationsListed(**partition.at(), worker_ids=frozenset({"w1"})))
     (again,) = started(partition.effects)
     assert again.task is run.task
 
@@ -238,7 +238,7 @@
     partition.effects.clear()
     partition.fail("w0")
     partition.now_ms += SILENT_MS
-    partition.give(LivesListed(**partition.at(), worker_ids=frozenset({"w0", "w1"})))
+    partition.give(IncarnationsListed(**partition.at(), worker_ids=frozenset({"w0", "w1"})))
     assert not started(partition.effects)
 
 
--- a/tests/dispatch/test_machine.py
+++ b/tests/dispatch/test_machine.py
@@ -19,7 +19,7 @@
     Effect,
     Effects,
     ForgetJob,
-    LivesListed,
+    IncarnationsListed,
     SaveJob,
     StartAnswered,
     StartTask,
@@ -343,7 +343,9 @@
     def list_lives(self) -> None:
         """The list of machines is read."""
         alive = frozenset(worker.id for worker in self.workers.values() if worker.is_alive)
-        self._collect(self.partition.give(LivesListed(**self.partition.at(), worker_ids=alive)))
+        self._collect(
+            self.partition.give(IncarnationsListed(**self.partition.at(), worker_ids=alive))
+        )
 
     @rule()
     def find_dead_workers(self) -> None:
--- a/tests/dispatch/test_restarts.py
+++ b/tests/dispatch/test_restarts.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from heatherkeel.dispatch.const import LEASE_MS, MAX_LISTING_AGE_MS, SILENT_MS
-from heatherkeel.dispatch.events import LivesListed, OpenSessions
+from heatherkeel.dispatch.events import IncarnationsListed, OpenSessions
 from heatherkeel.dispatch.models import JobState, Run, RunState
 from heatherkeel.platform.errors import Failure
 from heatherkeel.platform.workers import RunningTask
@@ -19,7 +19,7 @@
     partition.fail(worker_id)
     partition.tick(SILENT_MS)
     others = frozenset(partition.state.workers.keys() - {worker_id})
-    partition.give(LivesListed(**partition.at(), worker_ids=others))
+    partition.give(IncarnationsListed(**partition.at(), worker_ids=others))
 
 
 def list_run(partition: Partition, run: Run) -> None:
