--- a/heatherkeel/dispatch/events.py
+++ b/heatherkeel/dispatch/events.py
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AdviceTold(Event):
+class AdviceReceived(Event):
     """The advisor answered which workers may run a step; `tickets` is None if the call failed."""
 
     step: Step
--- a/heatherkeel/dispatch/inquiries.py
+++ b/heatherkeel/dispatch/inquiries.py
@@ -13,7 +13,7 @@
 from heatherkeel.platform.machines import MachineClient
 
 from .const import LIVES_INTERVAL_MS
-from .events import AdviceTold, AskAdvice, IncarnationsListed
+from .events import AdviceReceived, AskAdvice, IncarnationsListed
 
 if TYPE_CHECKING:
     from .owner import PartitionOwner
@@ -76,7 +76,7 @@
                 )
         now_ms, wall_ms = self.owner.times()
         self.owner.take(
-            AdviceTold(
+            AdviceReceived(
                 now_ms=now_ms,
                 wall_ms=wall_ms,
                 step=step,
--- a/heatherkeel/dispatch/tickets.py
+++ b/heatherkeel/dispatch/tickets.py
@@ -5,7 +5,7 @@
 from heatherkeel.platform.operator import Queue
 
 from .const import ADVICE_RETRY_MS, MAX_ADVISED, TICKET_MARGIN_MS
-from .events import AdviceTold, AskAdvice, Effects
+from .events import AdviceReceived, AskAdvice, Effects
 from .models import Step, Ticket, Worker
 from .registry import handles
 from .state import PartitionState
@@ -53,8 +53,8 @@
         effects.add(AskAdvice(step=step, worker_ids=worker_ids))
 
 
-@handles(AdviceTold)
-def apply_advice(state: PartitionState, event: AdviceTold, effects: Effects) -> None:
+@handles(AdviceReceived)
+def apply_advice(state: PartitionState, event: AdviceReceived, effects: Effects) -> None:
     """Store received tickets; workers that got none aren't asked about again."""
     step = event.step
     if event.tickets is None:
--- a/tests/dispatch/test_tickets.py
+++ b/tests/dispatch/test_tickets.py
@@ -6,7 +6,13 @@
 
 import msgspec
 
-from heatherkeel.dispatch.events import AdviceTold, AskAdvice, Effect, QueuesChanged, StartAnswered
+from heatherkeel.dispatch.events import (
+    AdviceReceived,
+    AskAdvice,
+    Effect,
+    QueuesChanged,
+    StartAnswered,
+)
 from heatherkeel.platform.advice import Advisor
 from heatherkeel.platform.errors import CallError, Failure
 
@@ -32,7 +38,7 @@
 def tell(partition: Partition, question: AskAdvice, **tickets: str) -> list[Effect]:
     """Answer a question."""
     partition.now_ms += 30
-    told = AdviceTold(
+    told = AdviceReceived(
         **partition.at(),
         step=question.step,
         worker_ids=question.worker_ids,
@@ -61,7 +67,7 @@
     partition = advised(workers=1)
     question = asked(partition.submit(make_step()))
     silent = dataclasses.replace(
-        AdviceTold(
+        AdviceReceived(
             **partition.at(),
             step=question.step,
             worker_ids=question.worker_ids,
