--- a/heatherkeel/dispatch/building.py
+++ b/heatherkeel/dispatch/building.py
@@ -23,7 +23,7 @@
     return paths
 
 
-def work_ahead(steps: tuple[StepRequest, ...]) -> list[float]:
+def remaining_work(steps: tuple[StepRequest, ...]) -> list[float]:
     """Return the work of each step and all later ones, in core-milliseconds.
 
     Best-effort tasks count as no work.
@@ -48,7 +48,7 @@
     """Create the steps and tasks of one occurrence; steps without dependencies are open."""
     due_ms = begins_ms + job.due_ms - job.accepted_ms
     paths = critical_paths_ms(job.request.steps)
-    remaining = work_ahead(job.request.steps)
+    remaining = remaining_work(job.request.steps)
     steps = []
     for number, request in enumerate(job.request.steps):
         step = Step(
--- a/heatherkeel/dispatch/state.py
+++ b/heatherkeel/dispatch/state.py
@@ -7,7 +7,7 @@
 
 from heatherkeel.platform.operator import Queue
 
-from .building import work_ahead
+from .building import remaining_work
 from .const import ARRIVAL_WINDOW_MS, LEASE_MS
 from .models import Job, Worker
 from .open_steps import OpenSteps
@@ -29,7 +29,7 @@
         steps = job.request.steps
         if any(step.lasts for step in steps):
             return
-        self.arrivals.append((now_ms, work_ahead(steps)[0]))
+        self.arrivals.append((now_ms, remaining_work(steps)[0]))
 
     def arriving_cpu(self, now_ms: int) -> int:
         """Return the processor that jobs ask for at the pace at which they come now."""
--- a/tests/dispatch/surge.py
+++ b/tests/dispatch/surge.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from heatherkeel.dispatch.building import work_ahead
+from heatherkeel.dispatch.building import remaining_work
 from heatherkeel.dispatch.events import StartTask, WorkerAnswered
 from heatherkeel.dispatch.models import Job, Run, RunState
 from heatherkeel.platform.callers import StepRequest
@@ -144,7 +144,9 @@
         came = len(self.jobs)
         in_time = sum(count_objectives(job) <= 1 for job in self.jobs)
         served = sum(count_objectives(job) <= 3 for job in self.jobs)
-        largest = sorted(self.jobs, key=lambda job: work_ahead(job.request.steps)[0])[-came // 10 :]
+        largest = sorted(self.jobs, key=lambda job: remaining_work(job.request.steps)[0])[
+            -came // 10 :
+        ]
         return Outcome(
             came=came,
             in_time=in_time,
