--- a/heatherkeel/dispatch/building.py
+++ b/heatherkeel/dispatch/building.py
@@ -69,7 +69,7 @@
     return steps
 
 
-def open_followers(step: Step) -> list[Step]:
+def open_dependents(step: Step) -> list[Step]:
     """Open steps whose dependencies are all done by now; returns those that opened."""
     steps = step.job.occurrences[step.occurrence]
     opened = []
--- a/heatherkeel/dispatch/ends.py
+++ b/heatherkeel/dispatch/ends.py
@@ -6,7 +6,7 @@
 
 from heatherkeel.platform.workers import EndedTask
 
-from .building import open_followers
+from .building import open_dependents
 from .const import GREY_FAILURES
 from .events import CountGivenUp, CountLoss, Effects, SaveJob
 from .jobs import end_job, save_ended, stop_run
@@ -89,7 +89,7 @@
     if not step.is_done():
         return
     find_pool(state, step.job.service).open_steps.discard(step)
-    for follower in open_followers(step):
+    for follower in open_dependents(step):
         wait_for_room(state, follower)
         effects.touch(step.job.service)
     _end_if_complete(state, step.job, effects)
