--- a/heatherkeel/dispatch/building.py
+++ b/heatherkeel/dispatch/building.py
@@ -87,7 +87,7 @@
     return job.request.start_at_ms + occurrence * job.request.interval_ms
 
 
-def make_unknown_task(name: str, *, service: str) -> Task:
+def make_placeholder_task(name: str, *, service: str) -> Task:
     """Return a placeholder for a task whose job isn't known, so that it can be stopped."""
     job = Job(
         id=name.split(".", 1)[0],
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -8,7 +8,7 @@
 from heatherkeel.platform.operator import WorkerEntry
 from heatherkeel.platform.workers import Listing, RunningTask
 
-from .building import make_unknown_task
+from .building import make_placeholder_task
 from .ends import find_task, lose_run, take_end
 from .events import (
     AcknowledgeEnds,
@@ -214,7 +214,7 @@
             "known_job": task is not None,
         },
     )
-    task = task or make_unknown_task(row.task, service=worker.entry.service)
+    task = task or make_placeholder_task(row.task, service=worker.entry.service)
     run = Run(
         task=task,
         attempt=row.attempt,
