--- a/heatherkeel/dispatch/building.py
+++ b/heatherkeel/dispatch/building.py
@@ -82,7 +82,7 @@
     return opened
 
 
-def occurrence_begins_wall_ms(job: Job, occurrence: int) -> int:
+def occurrence_start_wall_ms(job: Job, occurrence: int) -> int:
     """Return the start time of an occurrence of a repeated job, on the wall clock."""
     return job.request.start_at_ms + occurrence * job.request.interval_ms
 
--- a/heatherkeel/dispatch/jobs.py
+++ b/heatherkeel/dispatch/jobs.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from .building import begin_occurrence, occurrence_begins_wall_ms, set_objective
+from .building import begin_occurrence, occurrence_start_wall_ms, set_objective
 from .const import MAX_OPEN_TASKS
 from .events import (
     Effects,
@@ -75,7 +75,7 @@
         number = len(job.occurrences)
         begins_ms = float(job.accepted_ms)
         if job.request.repeat_count:
-            late_ms = state.wall_ms - occurrence_begins_wall_ms(job, number)
+            late_ms = state.wall_ms - occurrence_start_wall_ms(job, number)
             if late_ms < 0:
                 return
             begins_ms = float(state.now_ms - late_ms)
