--- a/heatherkeel/dispatch/ends.py
+++ b/heatherkeel/dispatch/ends.py
@@ -9,7 +9,7 @@
 from .building import open_dependents
 from .const import GREY_FAILURES
 from .events import CountGivenUp, CountLoss, Effects, SaveJob
-from .jobs import end_job, save_ended, stop_run
+from .jobs import end_job, save_ended_job, stop_run
 from .models import Job, JobState, LossReason, Run, Task, Worker
 from .pools import find_pool, forget_run, wait_for_room
 from .standing import set_aside
@@ -48,7 +48,7 @@
         task.saved = ended.saved
     job = task.step.job
     if job.state.is_final():
-        save_ended(job, effects)
+        save_ended_job(job, effects)
         return
     if ended.outcome == DONE and not task.step.request.lasts:
         worker.failed_jobs.clear()
@@ -163,7 +163,7 @@
     job = task.step.job
     effects.touch(job.service)
     if job.state.is_final():
-        save_ended(job, effects)
+        save_ended_job(job, effects)
         return
     if count_crash(run, reason, is_sole=is_sole):
         effects.add(CountGivenUp())
--- a/heatherkeel/dispatch/jobs.py
+++ b/heatherkeel/dispatch/jobs.py
@@ -116,7 +116,7 @@
         for task in step.tasks:
             for run in list(task.runs):
                 stop_run(state, run, effects)
-    save_ended(job, effects)
+    save_ended_job(job, effects)
     effects.touch(job.service)
     _LOGGER.info(
         "job ended",
@@ -131,7 +131,7 @@
     )
 
 
-def save_ended(job: Job, effects: Effects) -> None:
+def save_ended_job(job: Job, effects: Effects) -> None:
     """Store an ended job, and delete its request once none of its runs may remain.
 
     The next owner needs the request to know the capacity that remaining runs use.
