--- a/heatherkeel/dispatch/jobs.py
+++ b/heatherkeel/dispatch/jobs.py
@@ -141,7 +141,7 @@
         effects.add(ForgetJob(job_id=job.id, only_request=True))
 
 
-def stop_leftovers(state: PartitionState, effects: Effects) -> None:
+def stop_leftover_runs(state: PartitionState, effects: Effects) -> None:
     """Stop runs of ended jobs that an earlier owner left running, or was stopping."""
     for job in [*state.finished.values(), *state.jobs.values()]:
         for run in job.runs():
--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -43,7 +43,7 @@
     WorkersListed,
 )
 from .inquiries import Inquiries
-from .jobs import stop_leftovers
+from .jobs import stop_leftover_runs
 from .journal import Journal
 from .metrics import DispatchMetrics
 from .records import (
@@ -197,7 +197,7 @@
             if job_id not in stored.progress:
                 self._submit(job_id, request)
         effects = Effects()
-        stop_leftovers(self.state, effects)
+        stop_leftover_runs(self.state, effects)
         for job in self.state.finished.values():
             if job.id in stored.requests and not job.has_runs():
                 effects.add(ForgetJob(job_id=job.id, only_request=True))
--- a/tests/dispatch/test_machine.py
+++ b/tests/dispatch/test_machine.py
@@ -27,7 +27,7 @@
     StopTask,
     WorkerAnswered,
 )
-from heatherkeel.dispatch.jobs import stop_leftovers
+from heatherkeel.dispatch.jobs import stop_leftover_runs
 from heatherkeel.dispatch.models import Run, RunState
 from heatherkeel.dispatch.records import (
     PROGRESS_PREFIX,
@@ -384,7 +384,7 @@
             if job_id not in stored.progress:
                 self._collect(later.submit(*request.request.steps, job_id=job_id))
         effects = Effects()
-        stop_leftovers(later.state, effects)
+        stop_leftover_runs(later.state, effects)
         self._collect(effects.items)
 
     # What must hold.
--- a/tests/dispatch/test_recovery.py
+++ b/tests/dispatch/test_recovery.py
@@ -4,7 +4,7 @@
 
 from heatherkeel.dispatch.const import LEASE_MS
 from heatherkeel.dispatch.events import Effects, ForgetJob, SaveJob, StopTask
-from heatherkeel.dispatch.jobs import stop_leftovers
+from heatherkeel.dispatch.jobs import stop_leftover_runs
 from heatherkeel.dispatch.models import JobState, RunState
 from heatherkeel.dispatch.records import (
     PROGRESS_PREFIX,
@@ -38,7 +38,7 @@
     later.list_workers()
     restore_jobs(later.state, read_records(records))
     effects = Effects()
-    stop_leftovers(later.state, effects)
+    stop_leftover_runs(later.state, effects)
     later.effects += effects.items
     if asked:
         for worker_id in later.entries:
