--- a/heatherkeel/dispatch/pacing.py
+++ b/heatherkeel/dispatch/pacing.py
@@ -19,7 +19,7 @@
 FULL_PACE = 100
 
 
-def pace_worker(state: PartitionState, worker: Worker, effects: Effects) -> None:
+def adjust_pace(state: PartitionState, worker: Worker, effects: Effects) -> None:
     """Adjust the pace of a worker's best-effort tasks to the tail latency of its serving tasks.
 
     The pace is halved, and finally set to 0, while a tail latency is near or over its target. It
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -23,7 +23,7 @@
 from .lasting import leave_workers
 from .lives import add_worker, begin_life, drop_if_lapsed, end_life
 from .models import LossReason, Run, RunState, Worker
-from .pacing import pace_worker
+from .pacing import adjust_pace
 from .pools import wait_for_room
 from .registry import handles
 from .rooms import fit_planned
@@ -82,7 +82,7 @@
     _take_heard(state, worker, event, effects)
     _take_ends(state, worker, event.listing, effects)
     _compare_runs(state, worker, event.listing, event.sent_ms, event.now_ms, effects)
-    pace_worker(state, worker, effects)
+    adjust_pace(state, worker, effects)
     leave_standing(state, worker, effects)
 
 
