--- a/heatherkeel/dispatch/lasting.py
+++ b/heatherkeel/dispatch/lasting.py
@@ -8,7 +8,7 @@
 from .state import PartitionState
 
 
-def leave_workers(state: PartitionState, effects: Effects) -> None:
+def evict_tasks(state: PartitionState, effects: Effects) -> None:
     """Evict tasks that won't end soon from workers that drain or whose machines are leaving.
 
     Nothing is stopped while no task can be started elsewhere.
--- a/heatherkeel/dispatch/ticks.py
+++ b/heatherkeel/dispatch/ticks.py
@@ -5,7 +5,7 @@
 from .const import LEAVING_MS
 from .events import Effects, ForgetJob, Tick
 from .jobs import begin_due_occurrences
-from .lasting import leave_workers
+from .lasting import evict_tasks
 from .lives import drop_if_lapsed
 from .registry import handles
 from .rooms import take_outdated
@@ -24,7 +24,7 @@
     for worker in list(state.workers.values()):
         if worker.is_silent or (not worker.is_listed and not worker.runs):
             drop_if_lapsed(state, worker, effects)
-    leave_workers(state, effects)
+    evict_tasks(state, effects)
     _forget_ended(state, effects)
     for pool in state.pools.values():
         if pool.open_steps:
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -20,7 +20,7 @@
     WorkersListed,
 )
 from .jobs import stop_run
-from .lasting import leave_workers
+from .lasting import evict_tasks
 from .lives import add_worker, begin_life, drop_if_lapsed, end_life
 from .models import LossReason, Run, RunState, Worker
 from .pacing import adjust_pace
@@ -56,7 +56,7 @@
         if worker.id not in event.entries and worker.is_listed:
             worker.is_listed = False
             tell_worker(worker.id, "worker_unlisted", worker.entry.service)
-    leave_workers(state, effects)
+    evict_tasks(state, effects)
 
 
 def _take_entry(
@@ -270,4 +270,4 @@
         if is_leaving != worker.is_leaving:
             worker.is_leaving = is_leaving
             effects.touch(worker.entry.service)
-    leave_workers(state, effects)
+    evict_tasks(state, effects)
