--- a/heatherkeel/dispatch/ticks.py
+++ b/heatherkeel/dispatch/ticks.py
@@ -4,8 +4,8 @@
 
 from .const import LEAVING_MS
 from .events import Effects, ForgetJob, Tick
+from .eviction import evict_tasks
 from .jobs import begin_due_occurrences
-from .lasting import evict_tasks
 from .lives import drop_if_lapsed
 from .registry import handles
 from .rooms import take_outdated
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -19,8 +19,8 @@
     WorkersLeaving,
     WorkersListed,
 )
+from .eviction import evict_tasks
 from .jobs import stop_run
-from .lasting import evict_tasks
 from .lives import add_worker, begin_life, drop_if_lapsed, end_life
 from .models import LossReason, Run, RunState, Worker
 from .pacing import adjust_pace
