--- a/heatherkeel/dispatch/inquiries.py
+++ b/heatherkeel/dispatch/inquiries.py
@@ -52,7 +52,7 @@
                 continue
             alive = [m.worker_id for m in listed.ok_value if m.is_up() and m.worker_id]
             now_ms, wall_ms = self.owner.times()
-            self.owner.take(
+            self.owner.handle_event(
                 IncarnationsListed(now_ms=now_ms, wall_ms=wall_ms, worker_ids=frozenset(alive))
             )
 
@@ -75,7 +75,7 @@
                     extra={"event": "no_advice", "step": step.name(), "detail": error.detail},
                 )
         now_ms, wall_ms = self.owner.times()
-        self.owner.take(
+        self.owner.handle_event(
             AdviceReceived(
                 now_ms=now_ms,
                 wall_ms=wall_ms,
--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -153,7 +153,7 @@
         """Return the monotonic clock and the wall clock, in milliseconds."""
         return monotonic_ms(), wall_ms()
 
-    def take(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Pass an event to the reducer, and carry out the effects."""
         for effect in reduce_event(self.state, event):
             self._execute(effect)
@@ -161,7 +161,9 @@
     def take_leaving(self, worker_ids: frozenset[str], *, due: frozenset[str]) -> None:
         """Set the workers to empty now, and those that are due later."""
         now_ms, wall_ms = self.times()
-        self.take(WorkersLeaving(now_ms=now_ms, wall_ms=wall_ms, worker_ids=worker_ids, due=due))
+        self.handle_event(
+            WorkersLeaving(now_ms=now_ms, wall_ms=wall_ms, worker_ids=worker_ids, due=due)
+        )
 
     async def _async_restore(self) -> None:
         """Fence earlier owners, and restore the state from their records."""
@@ -205,11 +207,11 @@
             self._execute(effect)
         now_ms, wall_ms = self.times()
         for job_id in stored.canceled:
-            self.take(JobCanceled(now_ms=now_ms, wall_ms=wall_ms, job_id=job_id))
+            self.handle_event(JobCanceled(now_ms=now_ms, wall_ms=wall_ms, job_id=job_id))
 
     def _submit(self, job_id: str, request: StoredRequest) -> None:
         now_ms, wall_ms = self.times()
-        self.take(
+        self.handle_event(
             JobSubmitted(
                 now_ms=now_ms,
                 wall_ms=wall_ms,
@@ -226,13 +228,13 @@
         known = self.directory.state
         now_ms, wall_ms = self.times()
         if known.queues is not self.state.queues:
-            self.take(QueuesChanged(now_ms=now_ms, wall_ms=wall_ms, queues=known.queues))
+            self.handle_event(QueuesChanged(now_ms=now_ms, wall_ms=wall_ms, queues=known.queues))
         entries = {
             worker_id: entry
             for worker_id, entry in known.workers.items()
             if self.owns(worker_id, entry)
         }
-        self.take(WorkersListed(now_ms=now_ms, wall_ms=wall_ms, entries=entries))
+        self.handle_event(WorkersListed(now_ms=now_ms, wall_ms=wall_ms, entries=entries))
         self._open_sessions()
 
     def owns(self, worker_id: str, entry: WorkerEntry) -> bool:
@@ -282,7 +284,7 @@
             self._submit(job_id, request)
         now_ms, wall_ms = self.times()
         for job_id in stored.canceled:
-            self.take(JobCanceled(now_ms=now_ms, wall_ms=wall_ms, job_id=job_id))
+            self.handle_event(JobCanceled(now_ms=now_ms, wall_ms=wall_ms, job_id=job_id))
 
     async def _async_tick(self) -> None:
         while True:
@@ -291,7 +293,7 @@
             can_start = self.may_order() and self.journal.connected
             outdated = self._find_outdated(now_ms)
             tick = Tick(now_ms=now_ms, wall_ms=wall_ms, can_start=can_start, outdated=outdated)
-            self.take(tick)
+            self.handle_event(tick)
             self._open_sessions()
 
     def _find_outdated(self, now_ms: int) -> frozenset[str]:
--- a/heatherkeel/dispatch/session.py
+++ b/heatherkeel/dispatch/session.py
@@ -114,7 +114,7 @@
             failed = WorkerFailed(
                 now_ms=now_ms, wall_ms=wall_ms, worker_id=worker.id, error=listed.err_value
             )
-            self.owner.take(failed)
+            self.owner.handle_event(failed)
             return False
         answered = WorkerAnswered(
             now_ms=now_ms,
@@ -124,7 +124,7 @@
             listing=listed.ok_value,
             acknowledged=acknowledged,
         )
-        self.owner.take(answered)
+        self.owner.handle_event(answered)
         return True
 
     def _wait_ms(self) -> int:
@@ -178,7 +178,7 @@
             # Whether the worker still answers is found out now, not at the next idle look.
             self.work_came.set()
         now_ms, wall_ms = self.owner.times()
-        self.owner.take(StartAnswered(now_ms=now_ms, wall_ms=wall_ms, run=run, error=error))
+        self.owner.handle_event(StartAnswered(now_ms=now_ms, wall_ms=wall_ms, run=run, error=error))
 
     async def _async_stop(self, effect: StopTask) -> None:
         run = effect.run
@@ -191,7 +191,7 @@
         if error is not None:
             await trio.sleep(FAILED_LIST_PAUSE_MS / 1000)
         now_ms, wall_ms = self.owner.times()
-        self.owner.take(StopAnswered(now_ms=now_ms, wall_ms=wall_ms, run=run, error=error))
+        self.owner.handle_event(StopAnswered(now_ms=now_ms, wall_ms=wall_ms, run=run, error=error))
 
     async def _async_pace(self, effect: PaceTask) -> None:
         run = effect.run
