--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -158,7 +158,7 @@
         for effect in reduce_event(self.state, event):
             self._execute(effect)
 
-    def take_leaving(self, worker_ids: frozenset[str], *, due: frozenset[str]) -> None:
+    def set_leaving_workers(self, worker_ids: frozenset[str], *, due: frozenset[str]) -> None:
         """Set the workers to empty now, and those that are due later."""
         now_ms, wall_ms = self.times()
         self.handle_event(
--- a/heatherkeel/questions/answering.py
+++ b/heatherkeel/questions/answering.py
@@ -37,7 +37,7 @@
             return NotOwner()
         return JobTold(state=job.state.value if job else "")
     if isinstance(question, PoolsAsked):
-        owner.take_leaving(frozenset(question.leaving), due=frozenset(question.due))
+        owner.set_leaving_workers(frozenset(question.leaving), due=frozenset(question.due))
         return PoolsTold(pools=measure_pools(owner.state))
     if not owner.is_current():
         return NotOwner()
