--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -127,7 +127,7 @@
         for session in self.sessions.values():
             session.close()
 
-    def may_order(self) -> bool:
+    def can_order(self) -> bool:
         """Return whether no other instance can own the partition yet.
 
         Leases are renewed only while this holds: the next owner relies on that. They outlast the
@@ -144,7 +144,7 @@
         follower = self.follower
         return (
             self.is_restored
-            and self.may_order()
+            and self.can_order()
             and follower is not None
             and monotonic_ms() - follower.read_ms < CURRENT_MS
         )
@@ -290,7 +290,7 @@
         while True:
             await trio.sleep(TICK_MS / 1000)
             now_ms, wall_ms = self.times()
-            can_start = self.may_order() and self.journal.connected
+            can_start = self.can_order() and self.journal.connected
             outdated = self._find_outdated(now_ms)
             tick = Tick(now_ms=now_ms, wall_ms=wall_ms, can_start=can_start, outdated=outdated)
             self.handle_event(tick)
--- a/heatherkeel/dispatch/session.py
+++ b/heatherkeel/dispatch/session.py
@@ -74,7 +74,7 @@
 
     async def _async_list(self) -> None:
         while True:
-            if not self.owner.may_order():
+            if not self.owner.can_order():
                 await trio.sleep(FAILED_LIST_PAUSE_MS / 1000)
                 continue
             if not await self._async_list_once():
@@ -153,7 +153,7 @@
 
     async def _async_start(self, effect: StartTask) -> None:
         run = effect.run
-        while not self.owner.may_order():
+        while not self.owner.can_order():
             # The membership has run out: others may have been given this partition. Either it
             # is renewed, or this session is closed.
             await trio.sleep(FAILED_LIST_PAUSE_MS / 1000)
--- a/tests/instance/site.py
+++ b/tests/instance/site.py
@@ -110,7 +110,7 @@
                 continue
             for owner in process.owners.values():
                 shares = owner.directory.state.layout.partitions_of(service)
-                if owner.is_restored and owner.partition in shares and owner.may_order():
+                if owner.is_restored and owner.partition in shares and owner.can_order():
                     return process
         return None
 
