--- a/heatherkeel/dispatch/inquiries.py
+++ b/heatherkeel/dispatch/inquiries.py
@@ -21,7 +21,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class Inquiries:
+class OwnerQueries:
     """Queries the list of machines and the advisor for one owner."""
 
     def __init__(self, *, owner: PartitionOwner) -> None:
--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -42,7 +42,7 @@
     WorkersLeaving,
     WorkersListed,
 )
-from .inquiries import Inquiries
+from .inquiries import OwnerQueries
 from .jobs import stop_leftover_runs
 from .journal import Journal
 from .metrics import DispatchMetrics
@@ -98,7 +98,7 @@
         self.scope = trio.CancelScope()
         self.nursery: trio.Nursery | None = None
         self.is_restored = False
-        self.inquiries = Inquiries(owner=self)
+        self.queries = OwnerQueries(owner=self)
         self.request_dropper = RequestDropper(store=store, partition=partition)
         self.jobs_end_offset = 0
         self.follower: TopicFollower | None = None
@@ -114,10 +114,10 @@
                 nursery.start_soon(self._async_follow_jobs)
                 nursery.start_soon(self.request_dropper.async_run)
                 nursery.start_soon(self._async_tick)
-                nursery.start_soon(self.inquiries.async_watch_machines)
+                nursery.start_soon(self.queries.async_watch_machines)
                 self._update_from_directory()
         with trio.CancelScope(shield=True):
-            await self.inquiries.close()
+            await self.queries.close()
         if self._update_from_directory in self.directory.subscribers:
             self.directory.unsubscribe(self._update_from_directory)
 
@@ -322,7 +322,7 @@
                 self._open_sessions()
             case AskAdvice():
                 assert self.nursery is not None
-                self.nursery.start_soon(self.inquiries.async_ask_advice, effect)
+                self.nursery.start_soon(self.queries.async_ask_advice, effect)
             case CountLoss():
                 self.metrics.count_loss(effect.reason)
             case CountGivenUp():
