--- a/heatherkeel/dispatch/load.py
+++ b/heatherkeel/dispatch/load.py
@@ -49,7 +49,7 @@
         waiting_memory_mb += step.request.memory_mb * count
         if step.request.lasts and count:
             lacking = max(lacking, _count_workers_needed(step.request, count, pool))
-    lasting = {
+    long_running = {
         worker.id: sum(1 for run in worker.runs.values() if run.task.step.request.lasts)
         for worker in workers
     }
@@ -65,7 +65,7 @@
         workers={worker.id: worker.used_cpu for worker in workers if worker.is_listed},
         unheard=[worker.id for worker in workers if _is_unavailable(worker, now_ms)],
         empty=[worker.id for worker in workers if worker.is_leaving and worker.is_empty()],
-        lasting={worker_id: count for worker_id, count in lasting.items() if count},
+        lasting={worker_id: count for worker_id, count in long_running.items() if count},
     )
 
 
@@ -124,6 +124,7 @@
 def _count_workers_needed(step: StepRequest, count: int, pool: Pool) -> int:
     """Return how many empty workers can run this many tasks of a step.
 
+    Steps that wait at the same time can share these workers, so their results aren't summed up.
     The result is 0 for tasks that are larger than any worker, or that need a label: machines
     would be added without limit, and none of them might help.
     """
