--- a/heatherkeel/dispatch/ends.py
+++ b/heatherkeel/dispatch/ends.py
@@ -6,10 +6,10 @@
 
 from heatherkeel.platform.workers import EndedTask
 
-from .building import open_followers
+from .building import open_dependents
 from .const import GREY_FAILURES
 from .events import CountGivenUp, CountLoss, Effects, SaveJob
-from .jobs import end_job, save_ended, stop_run
+from .jobs import end_job, save_ended_job, stop_run
 from .models import Job, JobState, LossReason, Run, Task, Worker
 from .pools import enqueue_step, find_pool, forget_run
 from .standing import quarantine_worker
@@ -48,7 +48,7 @@
         task.saved = ended.saved
     job = task.step.job
     if job.state.is_final():
-        save_ended(job, effects)
+        save_ended_job(job, effects)
         return
     if ended.outcome == DONE and not task.step.request.lasts:
         worker.failed_jobs.clear()
@@ -89,7 +89,7 @@
     if not step.is_done():
         return
     find_pool(state, step.job.service).open_steps.discard(step)
-    for follower in open_followers(step):
+    for follower in open_dependents(step):
         enqueue_step(state, follower)
         effects.touch(step.job.service)
     _end_if_complete(state, step.job, effects)
@@ -163,7 +163,7 @@
     job = task.step.job
     effects.touch(job.service)
     if job.state.is_final():
-        save_ended(job, effects)
+        save_ended_job(job, effects)
         return
     if count_crash(run, reason, is_sole=is_sole):
         effects.add(CountGivenUp())
--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -6,7 +6,7 @@
 
 from .const import SILENT_MS, SLOWEST_CLOCK
 from .ends import lose_run
-from .events import Effects, LivesListed, OpenSessions, StopTask
+from .events import Effects, IncarnationsListed, OpenSessions, StopTask
 from .models import LossReason, Run, RunState, Worker
 from .pools import find_pool
 from .registry import handles
@@ -95,8 +95,8 @@
     drop_worker(state, worker, effects, reason=reason)
 
 
-@handles(LivesListed)
-def take_lives(state: PartitionState, event: LivesListed, effects: Effects) -> None:
+@handles(IncarnationsListed)
+def take_lives(state: PartitionState, event: IncarnationsListed, effects: Effects) -> None:
     """End unresponsive workers that the list of machines no longer names.
 
     Their machines have restarted or are down; a worker that is only unreachable is still named.
--- a/heatherkeel/dispatch/session.py
+++ b/heatherkeel/dispatch/session.py
@@ -74,7 +74,7 @@
 
     async def _async_list(self) -> None:
         while True:
-            if not self.owner.may_order():
+            if not self.owner.can_order():
                 await trio.sleep(FAILED_LIST_PAUSE_MS / 1000)
                 continue
             if not await self._async_list_once():
@@ -114,7 +114,7 @@
             failed = WorkerFailed(
                 now_ms=now_ms, wall_ms=wall_ms, worker_id=worker.id, error=listed.err_value
             )
-            self.owner.take(failed)
+            self.owner.handle_event(failed)
             return False
         answered = WorkerAnswered(
             now_ms=now_ms,
@@ -124,7 +124,7 @@
             listing=listed.ok_value,
             acknowledged=acknowledged,
         )
-        self.owner.take(answered)
+        self.owner.handle_event(answered)
         return True
 
     def _wait_ms(self) -> int:
@@ -153,7 +153,7 @@
 
     async def _async_start(self, effect: StartTask) -> None:
         run = effect.run
-        while not self.owner.may_order():
+        while not self.owner.can_order():
             # The membership has expired, so another instance may own this partition. Either it is
             # renewed, or this session is closed.
             await trio.sleep(FAILED_LIST_PAUSE_MS / 1000)
@@ -178,7 +178,7 @@
             # List at once to find out whether the worker still responds.
             self.work_came.set()
         now_ms, wall_ms = self.owner.times()
-        self.owner.take(StartAnswered(now_ms=now_ms, wall_ms=wall_ms, run=run, error=error))
+        self.owner.handle_event(StartAnswered(now_ms=now_ms, wall_ms=wall_ms, run=run, error=error))
 
     async def _async_stop(self, effect: StopTask) -> None:
         run = effect.run
@@ -191,7 +191,7 @@
         if error is not None:
             await trio.sleep(FAILED_LIST_PAUSE_MS / 1000)
         now_ms, wall_ms = self.owner.times()
-        self.owner.take(StopAnswered(now_ms=now_ms, wall_ms=wall_ms, run=run, error=error))
+        self.owner.handle_event(StopAnswered(now_ms=now_ms, wall_ms=wall_ms, run=run, error=error))
 
     async def _async_pace(self, effect: PaceTask) -> None:
         run = effect.run
--- a/heatherkeel/dispatch/ticks.py
+++ b/heatherkeel/dispatch/ticks.py
@@ -1,38 +1,38 @@
-"""What comes due with time alone."""
+"""Handles changes that depend on time alone."""
 
 from __future__ import annotations
 
 from .const import LEAVING_MS
 from .events import Effects, ForgetJob, Tick
+from .eviction import evict_tasks
 from .incarnations import drop_if_expired
 from .jobs import begin_due_occurrences
-from .lasting import leave_workers
 from .registry import handles
 from .rooms import update_outdated_workers
 from .state import PartitionState
 
 
 @handles(Tick)
-def take_tick(state: PartitionState, event: Tick, effects: Effects) -> None:
-    """Begin what is due, give up workers whose leases have lapsed, forget old jobs."""
+def handle_tick(state: PartitionState, event: Tick, effects: Effects) -> None:
+    """Begin due occurrences, drop workers whose leases have expired, and forget old jobs."""
     state.can_start = event.can_start
     update_outdated_workers(state, event.outdated, effects)
-    _end_leaving(state, effects)
+    _expire_leaving(state, effects)
     for job in state.jobs.values():
         if job.request.repeat_count:
             begin_due_occurrences(state, job, effects)
     for worker in list(state.workers.values()):
         if worker.is_unresponsive or (not worker.is_listed and not worker.runs):
             drop_if_expired(state, worker, effects)
-    leave_workers(state, effects)
+    evict_tasks(state, effects)
     _forget_ended(state, effects)
     for pool in state.pools.values():
         if pool.open_steps:
             effects.touch(pool.service)
 
 
-def _end_leaving(state: PartitionState, effects: Effects) -> None:
-    """Use workers again that nobody takes away any more, as when the fleet's owner is gone."""
+def _expire_leaving(state: PartitionState, effects: Effects) -> None:
+    """Use workers again if the fleet's owner has stopped reporting that they leave."""
     if state.now_ms - state.leaving_ms < LEAVING_MS:
         return
     for worker in state.workers.values():
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -8,7 +8,7 @@
 from heatherkeel.platform.operator import WorkerEntry
 from heatherkeel.platform.workers import Listing, RunningTask
 
-from .building import make_unknown_task
+from .building import make_placeholder_task
 from .ends import find_task, lose_run, take_end
 from .events import (
     AcknowledgeEnds,
@@ -19,11 +19,11 @@
     WorkersLeaving,
     WorkersListed,
 )
+from .eviction import evict_tasks
 from .incarnations import add_worker, drop_if_expired, end_incarnation, start_incarnation
 from .jobs import stop_run
-from .lasting import leave_workers
 from .models import LossReason, Run, RunState, Worker
-from .pacing import pace_worker
+from .pacing import adjust_pace
 from .pools import enqueue_step
 from .registry import handles
 from .rooms import cancel_excess_starts
@@ -56,7 +56,7 @@
         if worker.id not in event.entries and worker.is_listed:
             worker.is_listed = False
             log_worker_event(worker.id, "worker_unlisted", worker.entry.service)
-    leave_workers(state, effects)
+    evict_tasks(state, effects)
 
 
 def _update_from_entry(
@@ -82,7 +82,7 @@
     _record_answer(state, worker, event, effects)
     _process_ends(state, worker, event.listing, effects)
     _compare_runs(state, worker, event.listing, event.sent_ms, event.now_ms, effects)
-    pace_worker(state, worker, effects)
+    adjust_pace(state, worker, effects)
     quarantine_if_stalled(state, worker, effects)
 
 
@@ -218,7 +218,7 @@
             "known_job": task is not None,
         },
     )
-    task = task or make_unknown_task(row.task, service=worker.entry.service)
+    task = task or make_placeholder_task(row.task, service=worker.entry.service)
     run = Run(
         task=task,
         attempt=row.attempt,
@@ -274,4 +274,4 @@
         if is_leaving != worker.is_leaving:
             worker.is_leaving = is_leaving
             effects.touch(worker.entry.service)
-    leave_workers(state, effects)
+    evict_tasks(state, effects)
--- a/heatherkeel/questions/answering.py
+++ b/heatherkeel/questions/answering.py
@@ -40,7 +40,7 @@
             return NotOwner()
         return JobAnswer(state=job.state.value if job else "")
     if isinstance(question, PoolsQuestion):
-        owner.take_leaving(frozenset(question.leaving), due=frozenset(question.due))
+        owner.set_leaving_workers(frozenset(question.leaving), due=frozenset(question.due))
         return PoolsAnswer(pools=measure_pools(owner.state))
     if not owner.is_current():
         return NotOwner()
--- a/tests/dispatch/test_machine.py
+++ b/tests/dispatch/test_machine.py
@@ -19,7 +19,7 @@
     Effect,
     Effects,
     ForgetJob,
-    LivesListed,
+    IncarnationsListed,
     SaveJob,
     StartAnswered,
     StartTask,
@@ -27,7 +27,7 @@
     StopTask,
     WorkerAnswered,
 )
-from heatherkeel.dispatch.jobs import stop_leftovers
+from heatherkeel.dispatch.jobs import stop_leftover_runs
 from heatherkeel.dispatch.models import Run, RunState
 from heatherkeel.dispatch.records import (
     PROGRESS_PREFIX,
@@ -343,7 +343,9 @@
     def list_lives(self) -> None:
         """The list of machines is read."""
         alive = frozenset(worker.id for worker in self.workers.values() if worker.is_alive)
-        self._collect(self.partition.give(LivesListed(**self.partition.at(), worker_ids=alive)))
+        self._collect(
+            self.partition.give(IncarnationsListed(**self.partition.at(), worker_ids=alive))
+        )
 
     @rule()
     def find_dead_workers(self) -> None:
@@ -382,7 +384,7 @@
             if job_id not in stored.progress:
                 self._collect(later.submit(*request.request.steps, job_id=job_id))
         effects = Effects()
-        stop_leftovers(later.state, effects)
+        stop_leftover_runs(later.state, effects)
         self._collect(effects.items)
 
     # What must hold.
