--- a/tests/dispatch/crashing_pool.py
+++ b/tests/dispatch/crashing_pool.py
@@ -86,7 +86,7 @@
                 partition.tick(0)
             if ms % LIVES_INTERVAL_MS == 0:
                 alive = frozenset(self.alive)
-                partition.give(LivesListed(**partition.at(), worker_ids=alive))
+                partition.apply(LivesListed(**partition.event_times(), worker_ids=alive))
         return self._sum_up()
 
     def _submit(self) -> None:
@@ -106,21 +106,21 @@
                     self._start(run)
                 case StopTask(run=run) if run in run.task.runs and run.worker_id in self.alive:
                     self._end(run.worker_id, run.key(), "stopped")
-                    stopped = StopAnswered(**self.partition.at(), run=run, error=None)
-                    self.partition.give(stopped)
+                    stopped = StopAnswered(**self.partition.event_times(), run=run, error=None)
+                    self.partition.apply(stopped)
 
     def _start(self, run: Run) -> None:
         run.state = RunState.SENT
         worker = self.alive.get(run.worker_id)
         if worker is None:
-            self.partition.start_answered(run, Failure.UNKNOWN)
+            self.partition.answer_start(run, Failure.UNKNOWN)
             return
         believed = self.partition.state.workers[run.worker_id]
         lease_ms = believed.clock_at(self.partition.now_ms) + LEASE_MS
         believed.lease_until_ms = max(believed.lease_until_ms, lease_ms)
         now_ms = self.partition.now_ms
         worker.runs[run.key()] = (now_ms, now_ms + TASK_MS * self.random.uniform(0.5, 1.5))
-        self.partition.start_answered(run)
+        self.partition.answer_start(run)
         if run.task.step.job.id in self.crashing and run.task.index == 0:
             self.crashes[run.task.name] += 1
             self.doomed.append(run.worker_id)
@@ -152,7 +152,7 @@
             if ms >= worker.next_listing_ms:
                 worker.next_listing_ms = ms + WATCH_WAIT_MS
                 rows = [self._show(key, *times) for key, times in worker.runs.items()]
-                self.partition.list_exactly(worker_id, *rows)
+                self.partition.list_runs(worker_id, *rows)
                 self.partition.now_ms = now_ms
 
     def _show(self, key: tuple[str, int], started_ms: int, ends_ms: float) -> RunningTask:
@@ -164,7 +164,7 @@
         for worker_id, died_ms in self.dead.items():
             believed = self.partition.state.workers.get(worker_id)
             if believed is not None and not believed.is_silent:
-                self.partition.fail(worker_id)
+                self.partition.fail_listing(worker_id)
             if ms >= died_ms + ENTRY_MS and worker_id in self.partition.entries:
                 del self.partition.entries[worker_id]
                 self.partition.list_workers()
--- a/tests/dispatch/partition.py
+++ b/tests/dispatch/partition.py
@@ -42,7 +42,7 @@
         self.now_ms = 1000
         self.effects: list[Effect] = []
         self.ends: dict[str, list[EndedTask]] = {}
-        self.began_ms: dict[str, int] = {}
+        self.born_ms: dict[str, int] = {}
         """When the present life of a worker that has started again began."""
         queue = Queue(
             name="quotes",
@@ -53,17 +53,17 @@
             slack_factor=1.6,
             target_latency_ms=600,
         )
-        self.give(QueuesChanged(**self.at(), queues={"quotes": queue}))
+        self.apply(QueuesChanged(**self.event_times(), queues={"quotes": queue}))
         self.entries = {f"w{number}": make_entry(cpu=cpu) for number in range(workers)}
         self.list_workers()
         for worker_id in self.entries:
-            self.answer(worker_id)
+            self.list_known_runs(worker_id)
 
-    def at(self) -> dict[str, Any]:
+    def event_times(self) -> dict[str, Any]:
         """Return the times of an event."""
         return {"now_ms": self.now_ms, "wall_ms": self.now_ms}
 
-    def give(self, event: Event) -> list[Effect]:
+    def apply(self, event: Event) -> list[Effect]:
         """Reduce one event; returns its effects, which are kept too."""
         effects = reduce_event(self.state, event)
         self.effects += effects
@@ -71,13 +71,13 @@
 
     def list_workers(self) -> list[Effect]:
         """Say which workers have entries."""
-        return self.give(WorkersListed(**self.at(), entries=dict(self.entries)))
+        return self.apply(WorkersListed(**self.event_times(), entries=dict(self.entries)))
 
     def submit(self, *steps: StepRequest, job_id: str = JOB) -> list[Effect]:
         """Submit a job."""
-        return self.give(
+        return self.apply(
             JobSubmitted(
-                **self.at(),
+                **self.event_times(),
                 job_id=job_id,
                 queue="quotes",
                 service="portal",
@@ -88,18 +88,18 @@
 
     def cancel(self, job_id: str = JOB) -> list[Effect]:
         """Cancel a job."""
-        return self.give(JobCanceled(**self.at(), job_id=job_id))
+        return self.apply(JobCanceled(**self.event_times(), job_id=job_id))
 
-    def leave(self, *worker_ids: str) -> list[Effect]:
+    def mark_leaving(self, *worker_ids: str) -> list[Effect]:
         """Say that the machines of these workers are to go."""
-        return self.give(WorkersLeaving(**self.at(), worker_ids=frozenset(worker_ids)))
+        return self.apply(WorkersLeaving(**self.event_times(), worker_ids=frozenset(worker_ids)))
 
     def tick(self, ms: int) -> list[Effect]:
         """Let time pass."""
         self.now_ms += ms
-        return self.give(Tick(**self.at()))
+        return self.apply(Tick(**self.event_times()))
 
-    def answer(self, worker_id: str, *, percent: float = 50.0) -> list[Effect]:
+    def list_known_runs(self, worker_id: str, *, percent: float = 50.0) -> list[Effect]:
         """Let a worker list the runs that it was told to start, and its ends."""
         self.now_ms += 10
         worker = self.state.workers[worker_id]
@@ -112,46 +112,48 @@
         ]
         listing = self._list(worker_id, running)
         sent_ms = self.now_ms - 5
-        return self.give(
-            WorkerAnswered(**self.at(), worker_id=worker_id, sent_ms=sent_ms, listing=listing)
+        return self.apply(
+            WorkerAnswered(
+                **self.event_times(), worker_id=worker_id, sent_ms=sent_ms, listing=listing
+            )
         )
 
-    def list_exactly(self, worker_id: str, *running: RunningTask) -> list[Effect]:
+    def list_runs(self, worker_id: str, *running: RunningTask) -> list[Effect]:
         """Let a worker list just these runs, and its ends."""
         self.now_ms += 10
         listing = self._list(worker_id, list(running))
-        return self.give(
+        return self.apply(
             WorkerAnswered(
-                **self.at(), worker_id=worker_id, sent_ms=self.now_ms - 5, listing=listing
+                **self.event_times(), worker_id=worker_id, sent_ms=self.now_ms - 5, listing=listing
             )
         )
 
     def _list(self, worker_id: str, running: list[RunningTask]) -> Listing:
-        began_ms = self.began_ms.get(worker_id)
-        clock_ms = self.now_ms + 500_000 if began_ms is None else self.now_ms - began_ms
+        born_ms = self.born_ms.get(worker_id)
+        clock_ms = self.now_ms + 500_000 if born_ms is None else self.now_ms - born_ms
         ended = self.ends.get(worker_id, [])
-        return Listing(clock_ms=clock_ms, born=began_ms or 1, running=running, ended=ended)
+        return Listing(clock_ms=clock_ms, born=born_ms or 1, running=running, ended=ended)
 
-    def restart(self, worker_id: str, *, is_listed: bool = True) -> None:
+    def restart_worker(self, worker_id: str, *, is_listed: bool = True) -> None:
         """Let a worker start again under its id; its entry may tell of it later."""
         self.now_ms += 10
-        self.began_ms[worker_id] = self.now_ms
+        self.born_ms[worker_id] = self.now_ms
         self.ends[worker_id] = []
         if is_listed:
             self.write_entry(worker_id)
 
     def write_entry(self, worker_id: str) -> None:
         """Let a worker write its entry anew."""
-        born = self.began_ms.get(worker_id, 1)
+        born = self.born_ms.get(worker_id, 1)
         self.entries[worker_id] = msgspec.structs.replace(self.entries[worker_id], born=born)
         self.list_workers()
 
-    def fail(self, worker_id: str, failure: Failure = Failure.UNKNOWN) -> list[Effect]:
+    def fail_listing(self, worker_id: str, failure: Failure = Failure.UNKNOWN) -> list[Effect]:
         """Let a listing fail."""
         error = CallError(failure=failure)
-        return self.give(WorkerFailed(**self.at(), worker_id=worker_id, error=error))
+        return self.apply(WorkerFailed(**self.event_times(), worker_id=worker_id, error=error))
 
-    def end(self, run: Run, outcome: str = "done", saved: str = "") -> list[Effect]:
+    def end_run(self, run: Run, outcome: str = "done", saved: str = "") -> list[Effect]:
         """Let a run end, and its worker list that."""
         ends = self.ends.setdefault(run.worker_id, [])
         ends.append(
@@ -165,22 +167,22 @@
         )
         if run.key() in self.state.workers[run.worker_id].runs:
             run.answered_ms = None
-        return self.answer(run.worker_id)
+        return self.list_known_runs(run.worker_id)
 
-    def start_answered(
+    def answer_start(
         self, run: Run, failure: Failure | None = None, *, detail: str = ""
     ) -> list[Effect]:
         """Let a start be answered, or its time run out."""
         error = CallError(failure=failure, detail=detail) if failure else None
-        return self.give(StartAnswered(**self.at(), run=run, error=error))
+        return self.apply(StartAnswered(**self.event_times(), run=run, error=error))
 
-    def start_all(self) -> list[Run]:
+    def start_planned_runs(self) -> list[Run]:
         """Let every planned start be answered with success; returns the runs."""
-        runs = started(self.effects)
+        runs = started_runs(self.effects)
         self.effects = [effect for effect in self.effects if not isinstance(effect, StartTask)]
         for run in runs:
             if run in run.task.runs:
-                self.start_answered(run)
+                self.answer_start(run)
         return runs
 
     def job(self, job_id: str = JOB) -> Job:
@@ -211,11 +213,11 @@
     return StepRequest(count=count, cpu=cpu, **fields)  # type: ignore[arg-type]
 
 
-def started(effects: list[Effect]) -> list[Run]:
+def started_runs(effects: list[Effect]) -> list[Run]:
     """Return the runs that effects start."""
     return [effect.run for effect in effects if isinstance(effect, StartTask)]
 
 
-def stopped(effects: list[Effect]) -> list[Run]:
+def stopped_runs(effects: list[Effect]) -> list[Run]:
     """Return the runs that effects stop."""
     return [effect.run for effect in effects if isinstance(effect, StopTask)]
--- a/tests/dispatch/surge.py
+++ b/tests/dispatch/surge.py
@@ -134,9 +134,12 @@
         )
         now_ms = self.partition.now_ms
         listing = Listing(clock_ms=now_ms, running=[], ended=ended[-1:])
-        self.partition.give(
+        self.partition.apply(
             WorkerAnswered(
-                **self.partition.at(), worker_id=run.worker_id, sent_ms=now_ms, listing=listing
+                **self.partition.event_times(),
+                worker_id=run.worker_id,
+                sent_ms=now_ms,
+                listing=listing,
             )
         )
 
--- a/tests/dispatch/test_crashing_tasks.py
+++ b/tests/dispatch/test_crashing_tasks.py
@@ -14,7 +14,7 @@
 from heatherkeel.platform.callers import StepRequest
 from heatherkeel.platform.errors import Failure
 
-from .partition import JOB, OTHER_JOB, Partition, make_entry, make_step, started
+from .partition import JOB, OTHER_JOB, Partition, make_entry, make_step, started_runs
 from .test_recovery import take_over
 
 ALLOWED_AFTER_THREE = 2
@@ -34,11 +34,11 @@
 
     def turn(self) -> list[Run]:
         """Let planned starts be carried out, and what they crash be found gone; returns them."""
-        runs = self.partition.start_all()
+        runs = self.partition.start_planned_runs()
         crashed = {run.worker_id for run in runs if run.task.name == self.crashing}
         for worker_id in list(self.partition.state.workers):
             if worker_id not in crashed:
-                self.partition.answer(worker_id, percent=100.0)
+                self.partition.list_known_runs(worker_id, percent=100.0)
         for worker_id in crashed:
             self.crashes += 1
             self.crash(worker_id)
@@ -48,19 +48,19 @@
     def crash(self, worker_id: str) -> None:
         """Let a worker crash, and the list of machines name the next life of its machine."""
         partition = self.partition
-        partition.fail(worker_id)
+        partition.fail_listing(worker_id)
         for _ in range(SILENT_MS // 100):
             for other in list(partition.state.workers):
                 if other != worker_id and not partition.state.workers[other].is_silent:
-                    partition.answer(other, percent=100.0)
+                    partition.list_known_runs(other, percent=100.0)
             partition.tick(100)
         self.lives += 1
         del partition.entries[worker_id]
         partition.entries[f"w{self.lives}"] = make_entry()
         partition.list_workers()
-        partition.answer(f"w{self.lives}")
+        partition.list_known_runs(f"w{self.lives}")
         alive = frozenset(partition.entries)
-        partition.give(LivesListed(**partition.at(), worker_ids=alive))
+        partition.apply(LivesListed(**partition.event_times(), worker_ids=alive))
 
 
 def play(partition: Partition, *steps: StepRequest, turns: int = 12) -> CrashingFleet:
@@ -97,7 +97,7 @@
             break
         fleet.partition = take_over(fleet.partition, workers=4)
         for worker_id in fleet.partition.entries:
-            fleet.partition.list_exactly(worker_id)
+            fleet.partition.list_runs(worker_id)
     assert fleet.partition.job().state is JobState.FAILED
     assert fleet.crashes <= 3 + ALLOWED_AFTER_THREE
 
@@ -128,7 +128,7 @@
         fleet.turn()
         for _ in range(30):
             for worker_id in list(partition.state.workers):
-                partition.answer(worker_id, percent=100.0)
+                partition.list_known_runs(worker_id, percent=100.0)
             partition.tick(100)
         (run,) = partition.job().runs()
         fleet.crash(run.worker_id)
@@ -140,10 +140,10 @@
     partition = Partition(workers=3)
     partition.submit(make_step(cpu=100, lasts=True))
     partition.submit(make_step(cpu=100, lasts=True), job_id=OTHER_JOB)
-    first, second = partition.start_all()
+    first, second = partition.start_planned_runs()
     assert first.worker_id == second.worker_id
     CrashingFleet(partition, crashing="").crash(first.worker_id)
-    first, second = partition.start_all()
+    first, second = partition.start_planned_runs()
     assert first.worker_id == second.worker_id
 
 
@@ -151,9 +151,9 @@
     """A worker goes down with a task that has been at work for long, for a reason of its own."""
     partition = Partition(workers=3)
     partition.submit(make_step(cpu=100, lasts=True))
-    (run,) = partition.start_all()
+    (run,) = partition.start_planned_runs()
     for _ in range(PROVEN_MS // 100 + 1):
-        partition.answer(run.worker_id, percent=100.0)
+        partition.list_known_runs(run.worker_id, percent=100.0)
         partition.tick(100)
     CrashingFleet(partition, crashing="").crash(run.worker_id)
     assert run.task.crashes == 0
@@ -168,10 +168,10 @@
     partition.submit(make_step())
     fleet = CrashingFleet(partition, crashing="")
     for _ in range(3):
-        (run,) = started(partition.effects)
+        (run,) = started_runs(partition.effects)
         partition.effects.clear()
         run.state = RunState.SENT
-        partition.start_answered(run, Failure.UNKNOWN)
+        partition.answer_start(run, Failure.UNKNOWN)
         fleet.crash(run.worker_id)
     assert partition.job().state is JobState.ACTIVE
 
@@ -179,9 +179,9 @@
 def test_start_that_another_life_refused_is_no_suspicion() -> None:
     """A machine has moved, and another worker has its address: the start was surely not done."""
     partition = Partition(workers=2)
-    (run,) = started(partition.submit(make_step()))
+    (run,) = started_runs(partition.submit(make_step()))
     run.state = RunState.SENT
-    partition.start_answered(run, Failure.OTHER_INSTANCE)
+    partition.answer_start(run, Failure.OTHER_INSTANCE)
     assert run.task.crashes == 0
 
 
@@ -196,8 +196,8 @@
     partition.submit(make_step(may_copy=True))
     started = 0
     for _ in range(10):
-        for run in partition.start_all():
+        for run in partition.start_planned_runs():
             started += 1
-            partition.fail(run.worker_id)
+            partition.fail_listing(run.worker_id)
         partition.tick(100)
     assert started <= 3 + ALLOWED_AFTER_THREE
--- a/tests/dispatch/test_large_jobs.py
+++ b/tests/dispatch/test_large_jobs.py
@@ -27,9 +27,9 @@
     request = JobRequest(
         spec="s", steps=(make_step(count=count, cpu=100),), repeat_count=times, start_at_ms=1
     )
-    partition.give(
+    partition.apply(
         JobSubmitted(
-            **partition.at(),
+            **partition.event_times(),
             job_id=JOB,
             queue="quotes",
             service="portal",
--- a/tests/dispatch/test_load.py
+++ b/tests/dispatch/test_load.py
@@ -57,7 +57,7 @@
     all partitions of the process.
     """
     partition = Partition(workers=1, cpu=8000)
-    partition.answer("w0")
+    partition.list_known_runs("w0")
     partition.submit(StepRequest(count=1, cpu=2000, lasts=True))
     (step,) = partition.job().steps()
     wait_for_room(partition.state, step)
@@ -85,7 +85,7 @@
     """
     partition = Partition(workers=2, cpu=64_000)
     partition.submit(StepRequest(count=2, cpu=9000, lasts=True, max_per_worker=1), job_id=OTHER_JOB)
-    partition.start_all()
+    partition.start_planned_runs()
     partition.submit(StepRequest(count=1, cpu=58_000, estimated_ms=500))
     assert measure_pools(partition.state)[0].needs == [Need(cpu=58_000)]
 
@@ -93,7 +93,7 @@
 def test_task_that_fits_once_short_tasks_have_ended_is_no_need() -> None:
     partition = Partition(workers=2, cpu=64_000)
     partition.submit(StepRequest(count=2, cpu=9000, estimated_ms=500), job_id=OTHER_JOB)
-    partition.start_all()
+    partition.start_planned_runs()
     partition.submit(StepRequest(count=2, cpu=58_000, estimated_ms=500))
     assert measure_pools(partition.state)[0].needs == []
 
@@ -114,7 +114,7 @@
     partition = Partition(workers=2, cpu=8000)
     partition.submit(StepRequest(count=9, cpu=8000, estimated_ms=100, label="a"))
     assert measure_pools(partition.state)[0].needs == []
-    partition.leave("w0", "w1")
+    partition.mark_leaving("w0", "w1")
     assert measure_pools(partition.state)[0].needs == [Need(label="a", cpu=8000)]
 
 
@@ -124,9 +124,9 @@
     It stays listed while its heartbeats reach the store, so nobody else could tell.
     """
     partition = Partition(workers=2, cpu=8000)
-    partition.fail("w0")
+    partition.fail_listing("w0")
     assert measure_pools(partition.state)[0].unheard == []
     partition.tick(UNHEARD_MS)
     assert measure_pools(partition.state)[0].unheard == ["w0"]
-    partition.answer("w0")
+    partition.list_known_runs("w0")
     assert measure_pools(partition.state)[0].unheard == []
--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -8,7 +8,7 @@
 from heatherkeel.platform.errors import Failure
 from heatherkeel.platform.workers import RunningTask
 
-from .partition import JOB, OTHER_JOB, Partition, make_entry, make_step, started, stopped
+from .partition import JOB, OTHER_JOB, Partition, make_entry, make_step, started_runs, stopped_runs
 
 
 def start_on(partition: Partition, worker_id: str, job_id: str = JOB) -> Run:
@@ -17,7 +17,7 @@
     for worker in partition.state.workers.values():
         worker.is_leaving = worker.id != worker_id
     partition.submit(make_step(), job_id=job_id)
-    (run,) = partition.start_all()
+    (run,) = partition.start_planned_runs()
     assert run.worker_id == worker_id
     for worker in partition.state.workers.values():
         worker.is_leaving = False
@@ -33,14 +33,14 @@
     """
     partition = Partition()
     run = start_on(partition, "w0")
-    partition.fail("w0")
+    partition.fail_listing("w0")
     del partition.entries["w0"]
     partition.list_workers()
     partition.effects.clear()
     partition.tick(LEASE_MS)
-    assert not started(partition.effects)
+    assert not started_runs(partition.effects)
     partition.tick(LEASE_MS // 10 + 600)
-    (again,) = started(partition.effects)
+    (again,) = started_runs(partition.effects)
     assert again.task is run.task
     assert again.worker_id == "w1"
     assert "w0" not in partition.state.workers
@@ -50,8 +50,8 @@
     partition = Partition()
     run = start_on(partition, "w0")
     partition.effects.clear()
-    partition.fail("w0", Failure.OTHER_INSTANCE)
-    (again,) = started(partition.effects)
+    partition.fail_listing("w0", Failure.OTHER_INSTANCE)
+    (again,) = started_runs(partition.effects)
     assert again.task is run.task
 
 
@@ -61,7 +61,7 @@
     Taken in again, the entry would be asked, and dropped, over and over until it lapses.
     """
     partition = Partition()
-    partition.fail("w0", Failure.OTHER_INSTANCE)
+    partition.fail_listing("w0", Failure.OTHER_INSTANCE)
     partition.list_workers()
     assert "w0" not in partition.state.workers
     del partition.entries["w0"]
@@ -74,8 +74,8 @@
     run = start_on(partition, "w0")
     partition.effects.clear()
     partition.now_ms += 10
-    partition.list_exactly("w0")
-    (again,) = started(partition.effects)
+    partition.list_runs("w0")
+    (again,) = started_runs(partition.effects)
     assert again.attempt == run.attempt + 1
 
 
@@ -88,7 +88,7 @@
     partition = Partition()
     run = start_on(partition, "w0")
     partition.now_ms -= 10
-    partition.list_exactly("w0")
+    partition.list_runs("w0")
     assert run in run.task.runs
 
 
@@ -96,29 +96,29 @@
     partition = Partition()
     run = start_on(partition, "w0")
     partition.effects.clear()
-    partition.end(run, "stopped", saved="half")
-    (again,) = started(partition.effects)
+    partition.end_run(run, "stopped", saved="half")
+    (again,) = started_runs(partition.effects)
     assert again.saved == "half"
 
 
 def test_task_that_fails_as_often_as_allowed_fails_its_job() -> None:
     partition = Partition(max_failures=2)
     partition.submit(make_step(count=2))
-    first, _ = partition.start_all()
-    partition.end(first, "failed")
+    first, _ = partition.start_planned_runs()
+    partition.end_run(first, "failed")
     assert partition.job().state is JobState.ACTIVE
-    again = next(run for run in partition.start_all() if run.task is first.task)
-    effects = partition.end(again, "failed")
+    again = next(run for run in partition.start_planned_runs() if run.task is first.task)
+    effects = partition.end_run(again, "failed")
     assert partition.job().state is JobState.FAILED
-    assert len(stopped(effects)) == 1
+    assert len(stopped_runs(effects)) == 1
 
 
 def test_ends_other_than_failed_use_up_no_attempt() -> None:
     partition = Partition(max_failures=1)
     partition.submit(make_step())
     for _ in range(4):
-        (run,) = partition.start_all()
-        partition.end(run, "lapsed")
+        (run,) = partition.start_planned_runs()
+        partition.end_run(run, "lapsed")
     assert partition.job().state is JobState.ACTIVE
 
 
@@ -130,7 +130,7 @@
     """
     partition = Partition(workers=3, max_failures=9)
     for number in range(3):
-        partition.end(start_on(partition, "w0", f"{number:016x}"), "failed")
+        partition.end_run(start_on(partition, "w0", f"{number:016x}"), "failed")
     assert partition.state.workers["w0"].aside_until_ms > partition.now_ms
     assert not partition.state.workers["w0"].runs
     partition.tick(GREY_PAUSE_MS)
@@ -141,7 +141,7 @@
     partition = Partition(workers=1)
     partition.entries["w0"] = make_entry(state="draining")
     partition.list_workers()
-    assert not started(partition.submit(make_step()))
+    assert not started_runs(partition.submit(make_step()))
 
 
 def test_lasting_tasks_leave_one_at_a_time() -> None:
@@ -152,19 +152,19 @@
     """
     partition = Partition(workers=4)
     partition.submit(make_step(count=2, cpu=100, lasts=True, max_unavailable=1, max_per_worker=1))
-    first, second = partition.start_all()
+    first, second = partition.start_planned_runs()
     for worker_id in partition.entries:
-        partition.answer(worker_id, percent=100.0)
-    (stop,) = stopped(partition.leave(first.worker_id, second.worker_id))
-    partition.end(stop, "stopped")
-    (moved,) = partition.start_all()
-    partition.answer(moved.worker_id, percent=20.0)
+        partition.list_known_runs(worker_id, percent=100.0)
+    (stop,) = stopped_runs(partition.mark_leaving(first.worker_id, second.worker_id))
+    partition.end_run(stop, "stopped")
+    (moved,) = partition.start_planned_runs()
+    partition.list_known_runs(moved.worker_id, percent=20.0)
     partition.effects.clear()
     partition.tick(100)
-    assert not stopped(partition.effects)
-    partition.answer(moved.worker_id, percent=100.0)
+    assert not stopped_runs(partition.effects)
+    partition.list_known_runs(moved.worker_id, percent=100.0)
     partition.tick(100)
-    (other,) = stopped(partition.effects)
+    (other,) = stopped_runs(partition.effects)
     assert {stop, other} == {first, second}
 
 
@@ -176,20 +176,20 @@
     """
     partition = Partition(workers=3)
     partition.submit(make_step(count=2, cpu=100, lasts=True, max_unavailable=1, max_per_worker=1))
-    first, second = partition.start_all()
+    first, second = partition.start_planned_runs()
     for worker_id in partition.entries:
-        partition.answer(worker_id, percent=100.0)
-    partition.fail(first.worker_id)
-    assert not stopped(partition.leave(second.worker_id))
+        partition.list_known_runs(worker_id, percent=100.0)
+    partition.fail_listing(first.worker_id)
+    assert not stopped_runs(partition.mark_leaving(second.worker_id))
 
 
 def test_nothing_is_taken_off_a_leaving_worker_while_nothing_can_be_started() -> None:
     partition = Partition()
     partition.submit(make_step(cpu=100, lasts=True, max_unavailable=1))
-    (run,) = partition.start_all()
-    partition.answer(run.worker_id, percent=100.0)
-    partition.give(Tick(**partition.at(), can_start=False))
-    assert not stopped(partition.leave(run.worker_id))
+    (run,) = partition.start_planned_runs()
+    partition.list_known_runs(run.worker_id, percent=100.0)
+    partition.apply(Tick(**partition.event_times(), can_start=False))
+    assert not stopped_runs(partition.mark_leaving(run.worker_id))
 
 
 def test_worker_serves_again_when_nobody_takes_it_away_any_more() -> None:
@@ -198,10 +198,10 @@
     Left as leaving, the worker would get no work for good.
     """
     partition = Partition(workers=1)
-    partition.leave("w0")
-    assert not started(partition.submit(make_step()))
+    partition.mark_leaving("w0")
+    assert not started_runs(partition.submit(make_step()))
     partition.tick(LEAVING_MS)
-    assert started(partition.effects)
+    assert started_runs(partition.effects)
 
 
 def test_worker_is_empty_only_when_it_was_told_that_its_ends_are_stored() -> None:
@@ -212,7 +212,7 @@
     """
     partition = Partition()
     run = start_on(partition, "w0")
-    partition.end(run)
+    partition.end_run(run)
     worker = partition.state.workers["w0"]
     assert not worker.runs
     assert not worker.is_empty()
@@ -224,10 +224,10 @@
     partition = Partition()
     run = start_on(partition, "w0")
     partition.effects.clear()
-    partition.fail("w0")
+    partition.fail_listing("w0")
     partition.now_ms += SILENT_MS
-    partition.give(LivesListed(**partition.at(), worker_ids=frozenset({"w1"})))
-    (again,) = started(partition.effects)
+    partition.apply(LivesListed(**partition.event_times(), worker_ids=frozenset({"w1"})))
+    (again,) = started_runs(partition.effects)
     assert again.task is run.task
 
 
@@ -236,10 +236,10 @@
     partition = Partition()
     start_on(partition, "w0")
     partition.effects.clear()
-    partition.fail("w0")
+    partition.fail_listing("w0")
     partition.now_ms += SILENT_MS
-    partition.give(LivesListed(**partition.at(), worker_ids=frozenset({"w0", "w1"})))
-    assert not started(partition.effects)
+    partition.apply(LivesListed(**partition.event_times(), worker_ids=frozenset({"w0", "w1"})))
+    assert not started_runs(partition.effects)
 
 
 def test_worker_whose_tasks_stand_still_is_left() -> None:
@@ -251,10 +251,10 @@
     partition = Partition(workers=4)
     first = start_on(partition, "w0")
     second = start_on(partition, "w0", OTHER_JOB)
-    partition.answer("w0", percent=30.0)
+    partition.list_known_runs("w0", percent=30.0)
     partition.now_ms += STANDING_MS
-    effects = partition.answer("w0", percent=30.0)
-    assert set(stopped(effects)) == {first, second}
+    effects = partition.list_known_runs("w0", percent=30.0)
+    assert set(stopped_runs(effects)) == {first, second}
     assert not partition.state.workers["w0"].takes_work(partition.now_ms)
 
 
@@ -262,13 +262,13 @@
     partition = Partition(workers=4)
     first = start_on(partition, "w0")
     second = start_on(partition, "w0", OTHER_JOB)
-    partition.answer("w0", percent=30.0)
+    partition.list_known_runs("w0", percent=30.0)
     partition.now_ms += STANDING_MS
     rows = [
         RunningTask(task=run.task.name, attempt=1, saved="", percent=percent, figure=0.0)
         for run, percent in ((first, 30.0), (second, 31.0))
     ]
-    assert not stopped(partition.list_exactly("w0", *rows))
+    assert not stopped_runs(partition.list_runs("w0", *rows))
 
 
 def test_worker_that_refuses_the_connection_is_not_tried_again_at_once() -> None:
@@ -280,18 +280,18 @@
     partition = Partition(workers=2)
     worker = partition.state.workers["w0"]
     partition.state.workers["w1"].is_leaving = True
-    (run,) = started(partition.submit(make_step()))
+    (run,) = started_runs(partition.submit(make_step()))
     partition.state.workers["w1"].is_leaving = False
-    (again,) = started(partition.start_answered(run, Failure.REFUSED))
+    (again,) = started_runs(partition.answer_start(run, Failure.REFUSED))
     assert again.worker_id == "w1"
     assert not worker.takes_work(partition.now_ms)
-    partition.answer("w0")
+    partition.list_known_runs("w0")
     assert worker.takes_work(partition.now_ms)
 
 
 def test_start_that_another_life_answered_proves_the_worker_gone() -> None:
     partition = Partition(workers=2)
-    (run,) = started(partition.submit(make_step()))
-    (again,) = started(partition.start_answered(run, Failure.OTHER_INSTANCE))
+    (run,) = started_runs(partition.submit(make_step()))
+    (again,) = started_runs(partition.answer_start(run, Failure.OTHER_INSTANCE))
     assert again.worker_id != run.worker_id
     assert run.worker_id not in partition.state.workers
--- a/tests/dispatch/test_pacing.py
+++ b/tests/dispatch/test_pacing.py
@@ -17,7 +17,7 @@
         RunningTask(task=run.task.name, attempt=1, saved="", percent=100.0, figure=figure)
         for run, figure in ((serving, tail_ms), (filling, 900.0))
     ]
-    effects = partition.list_exactly("w0", *rows)
+    effects = partition.list_runs("w0", *rows)
     return [effect for effect in effects if isinstance(effect, PaceTask)]
 
 
@@ -29,9 +29,9 @@
     """
     partition = Partition(workers=1)
     partition.submit(make_step(lasts=True, tail_target_ms=50))
-    (serving,) = partition.start_all()
+    (serving,) = partition.start_planned_runs()
     partition.submit(make_step(cpu=8000, fills=True, lasts=True), job_id=OTHER_JOB)
-    (filling,) = partition.start_all()
+    (filling,) = partition.start_planned_runs()
     paces = []
     for _ in range(3):
         (effect,) = list_tail(partition, serving, filling, 80.0)
@@ -47,7 +47,7 @@
     partition = Partition(workers=1, cpu=8000)
     partition.submit(make_step(cpu=8000))
     partition.submit(make_step(cpu=8000, fills=True), job_id=OTHER_JOB)
-    assert len(partition.start_all()) == 2
+    assert len(partition.start_planned_runs()) == 2
 
 
 def test_pace_that_is_not_known_is_set_anew() -> None:
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -25,7 +25,7 @@
     }
     partition.list_workers()
     for worker_id in partition.entries:
-        partition.answer(worker_id)
+        partition.list_known_runs(worker_id)
     return partition
 
 
--- a/tests/dispatch/test_recovery.py
+++ b/tests/dispatch/test_recovery.py
@@ -19,7 +19,7 @@
 from heatherkeel.platform.framing import KeyedRecord
 from heatherkeel.platform.workers import RunningTask
 
-from .partition import JOB, Partition, make_step, started, stopped
+from .partition import JOB, Partition, make_step, started_runs, stopped_runs
 
 
 def take_over(earlier: Partition, *, workers: int = 2, asked: bool = False) -> Partition:
@@ -42,7 +42,7 @@
     later.effects += effects.items
     if asked:
         for worker_id in later.entries:
-            later.answer(worker_id)
+            later.list_known_runs(worker_id)
     return later
 
 
@@ -54,15 +54,15 @@
     """
     earlier = Partition()
     earlier.submit(make_step())
-    (run,) = earlier.start_all()
+    (run,) = earlier.start_planned_runs()
     later = take_over(earlier)
-    later.fail(run.worker_id)
+    later.fail_listing(run.worker_id)
     other = next(worker_id for worker_id in later.entries if worker_id != run.worker_id)
-    later.answer(other)
+    later.list_known_runs(other)
     later.tick(LEASE_MS)
-    assert not started(later.effects)
+    assert not started_runs(later.effects)
     later.tick(TTL_MS + LEASE_MS)
-    (again,) = started(later.effects)
+    (again,) = started_runs(later.effects)
     assert again.attempt == run.attempt + 1
 
 
@@ -70,44 +70,44 @@
     """Guards against a second run while the lease that the earlier owner gave goes on."""
     earlier = Partition()
     earlier.submit(make_step())
-    (run,) = earlier.start_all()
+    (run,) = earlier.start_planned_runs()
     later = take_over(earlier, asked=True)
-    later.fail(run.worker_id)
+    later.fail_listing(run.worker_id)
     later.effects.clear()
     later.tick(LEASE_MS)
-    assert not started(later.effects)
+    assert not started_runs(later.effects)
     later.tick(LEASE_MS // 10 + 600)
-    assert [again.task.name for again in started(later.effects)] == [run.task.name]
+    assert [again.task.name for again in started_runs(later.effects)] == [run.task.name]
 
 
 def test_crash_of_a_worker_that_starts_again_under_a_next_owner_is_counted() -> None:
     """Guards against starts without end of a task that crashes workers, owner after owner."""
     earlier = Partition()
     earlier.submit(make_step())
-    (run,) = earlier.start_all()
-    earlier.restart(run.worker_id)
+    (run,) = earlier.start_planned_runs()
+    earlier.restart_worker(run.worker_id)
     later = take_over(earlier)
-    later.began_ms = earlier.began_ms
-    later.list_exactly(run.worker_id)
+    later.born_ms = earlier.born_ms
+    later.list_runs(run.worker_id)
     assert later.job().crashes == 1
 
 
 def test_task_that_a_worker_lists_is_taken_over_running() -> None:
     earlier = Partition()
     earlier.submit(make_step())
-    (run,) = earlier.start_all()
+    (run,) = earlier.start_planned_runs()
     later = take_over(earlier, asked=True)
-    assert not started(later.effects)
+    assert not started_runs(later.effects)
     assert later.state.workers[run.worker_id].used_cpu == 2000
 
 
 def test_start_that_never_left_is_given_anew_once_the_worker_has_told_its_runs() -> None:
     earlier = Partition()
     earlier.submit(make_step())
-    (run,) = started(earlier.effects)
+    (run,) = started_runs(earlier.effects)
     later = take_over(earlier)
-    later.list_exactly(run.worker_id)
-    (again,) = started(later.effects)
+    later.list_runs(run.worker_id)
+    (again,) = started_runs(later.effects)
     assert again.attempt == run.attempt + 1
 
 
@@ -119,17 +119,17 @@
     """
     earlier = Partition()
     earlier.submit(make_step())
-    (run,) = earlier.start_all()
+    (run,) = earlier.start_planned_runs()
     effects = earlier.cancel()
     assert not any(isinstance(effect, ForgetJob) for effect in effects)
     later = take_over(earlier)
     assert later.job().state is JobState.CANCELED
-    assert [stop.key() for stop in stopped(later.effects)] == [run.key()]
+    assert [stop.key() for stop in stopped_runs(later.effects)] == [run.key()]
     assert later.state.workers[run.worker_id].used_cpu == 2000
     (left,) = later.state.workers[run.worker_id].runs.values()
     left.answered_ms = later.now_ms
     later.effects.clear()
-    later.list_exactly(run.worker_id)
+    later.list_runs(run.worker_id)
     kinds = [type(effect) for effect in later.effects]
     assert kinds.index(SaveJob) < kinds.index(ForgetJob)
 
@@ -137,17 +137,17 @@
 def test_run_of_a_job_that_nobody_knows_is_stopped() -> None:
     partition = Partition()
     row = RunningTask(task="00000000000000ff.0.0.3", attempt=4, saved="", percent=1, figure=0)
-    (run,) = stopped(partition.list_exactly("w0", row))
+    (run,) = stopped_runs(partition.list_runs("w0", row))
     assert run.key() == ("00000000000000ff.0.0.3", 4)
     assert run.state is RunState.STOPPING
-    assert not stopped(partition.list_exactly("w0", row))
+    assert not stopped_runs(partition.list_runs("w0", row))
 
 
 def test_ended_job_keeps_its_state_without_its_request() -> None:
     earlier = Partition()
     earlier.submit(make_step())
-    (run,) = earlier.start_all()
-    earlier.end(run)
+    (run,) = earlier.start_planned_runs()
+    earlier.end_run(run)
     job = earlier.job()
     record = KeyedRecord(key=f"{PROGRESS_PREFIX}{JOB}", value=encode_progress(job), offset=2)
     later = Partition()
@@ -164,27 +164,27 @@
     """
     earlier = Partition(workers=4)
     earlier.submit(make_step(count=2, cpu=100, lasts=True, max_unavailable=1))
-    first, second = earlier.start_all()
+    first, second = earlier.start_planned_runs()
     for worker_id in earlier.entries:
-        earlier.answer(worker_id, percent=100.0)
-    effects = earlier.leave(first.worker_id, second.worker_id)
+        earlier.list_known_runs(worker_id, percent=100.0)
+    effects = earlier.mark_leaving(first.worker_id, second.worker_id)
     kinds = [type(effect) for effect in effects]
     assert kinds == [SaveJob, StopTask]
     assert isinstance(effects[1], StopTask)
     assert effects[1].once_stored
-    (stop,) = stopped(effects)
+    (stop,) = stopped_runs(effects)
     later = take_over(earlier, workers=4)
-    assert [run.key() for run in stopped(later.effects)] == [stop.key()]
+    assert [run.key() for run in stopped_runs(later.effects)] == [stop.key()]
     for worker_id in later.entries:
         rows = [
             RunningTask(task=run.task.name, attempt=1, saved="", percent=100.0, figure=0)
             for run in (first, second)
             if run.worker_id == worker_id
         ]
-        later.list_exactly(worker_id, *rows)
+        later.list_runs(worker_id, *rows)
     later.effects.clear()
-    later.leave(first.worker_id, second.worker_id)
-    assert not stopped(later.effects)
+    later.mark_leaving(first.worker_id, second.worker_id)
+    assert not stopped_runs(later.effects)
 
 
 def test_tasks_that_were_not_listed_yet_are_taken_for_being_at_work() -> None:
@@ -194,9 +194,9 @@
     """
     earlier = Partition(workers=4)
     earlier.submit(make_step(count=4, cpu=100, lasts=True, max_unavailable=1))
-    runs = earlier.start_all()
+    runs = earlier.start_planned_runs()
     later = take_over(earlier, workers=4)
-    assert not stopped(later.leave(*{run.worker_id for run in runs}))
+    assert not stopped_runs(later.mark_leaving(*{run.worker_id for run in runs}))
 
 
 def test_failed_end_that_is_listed_again_to_the_next_owner_counts_once() -> None:
@@ -207,10 +207,10 @@
     """
     earlier = Partition(workers=2, max_failures=2)
     earlier.submit(make_step())
-    (run,) = earlier.start_all()
-    earlier.end(run, "failed")
+    (run,) = earlier.start_planned_runs()
+    earlier.end_run(run, "failed")
     later = take_over(earlier)
     later.state.queues = earlier.state.queues
     later.ends = earlier.ends
-    later.list_exactly(run.worker_id)
+    later.list_runs(run.worker_id)
     assert later.job().state is JobState.ACTIVE
--- a/tests/dispatch/test_starts.py
+++ b/tests/dispatch/test_starts.py
@@ -7,7 +7,7 @@
 from heatherkeel.platform.errors import Failure
 from heatherkeel.platform.workers import RunningTask
 
-from .partition import JOB, OTHER_JOB, Partition, make_step, started, stopped
+from .partition import JOB, OTHER_JOB, Partition, make_step, started_runs, stopped_runs
 
 
 def test_attempt_is_stored_before_its_order_leaves() -> None:
@@ -18,7 +18,7 @@
 
 def test_room_of_a_worker_is_never_exceeded() -> None:
     partition = Partition(workers=2, cpu=8000)
-    runs = started(partition.submit(make_step(count=20, cpu=3000)))
+    runs = started_runs(partition.submit(make_step(count=20, cpu=3000)))
     assert len(runs) == 4
     assert all(worker.used_cpu <= 8000 for worker in partition.state.workers.values())
 
@@ -32,27 +32,27 @@
     """
     partition = Partition(workers=1, cpu=4000)
     partition.submit(make_step(cpu=4000))
-    (run,) = partition.start_all()
+    (run,) = partition.start_planned_runs()
     partition.submit(make_step(cpu=4000), job_id=OTHER_JOB)
-    assert stopped(partition.cancel()) == [run]
-    assert not started(partition.effects)
-    partition.end(run, "stopped")
-    assert [run.task.step.job.id for run in started(partition.effects)] == [OTHER_JOB]
+    assert stopped_runs(partition.cancel()) == [run]
+    assert not started_runs(partition.effects)
+    partition.end_run(run, "stopped")
+    assert [run.task.step.job.id for run in started_runs(partition.effects)] == [OTHER_JOB]
 
 
 def test_step_starts_only_after_all_that_it_depends_on() -> None:
     partition = Partition()
     partition.submit(make_step(count=2), make_step(depends_on=(0,)))
-    first, second = partition.start_all()
-    partition.end(first)
-    assert not started(partition.effects)
-    partition.end(second)
-    assert [run.task.step.number for run in started(partition.effects)] == [1]
+    first, second = partition.start_planned_runs()
+    partition.end_run(first)
+    assert not started_runs(partition.effects)
+    partition.end_run(second)
+    assert [run.task.step.number for run in started_runs(partition.effects)] == [1]
 
 
 def test_spread_over_workers_is_kept() -> None:
     partition = Partition(workers=3)
-    runs = started(partition.submit(make_step(count=5, cpu=100, max_per_worker=1)))
+    runs = started_runs(partition.submit(make_step(count=5, cpu=100, max_per_worker=1)))
     assert sorted(run.worker_id for run in runs) == ["w0", "w1", "w2"]
 
 
@@ -63,14 +63,14 @@
     start, so the task waits until a listing made after the stop's answer doesn't show it.
     """
     partition = Partition()
-    (run,) = started(partition.submit(make_step()))
+    (run,) = started_runs(partition.submit(make_step()))
     partition.effects.clear()
-    assert stopped(partition.start_answered(run, Failure.UNKNOWN)) == [run]
-    partition.answer(run.worker_id)
-    assert not started(partition.effects)
+    assert stopped_runs(partition.answer_start(run, Failure.UNKNOWN)) == [run]
+    partition.list_known_runs(run.worker_id)
+    assert not started_runs(partition.effects)
     run.answered_ms = partition.now_ms
-    partition.list_exactly(run.worker_id)
-    (again,) = started(partition.effects)
+    partition.list_runs(run.worker_id)
+    (again,) = started_runs(partition.effects)
     assert again.attempt == run.attempt + 1
 
 
@@ -81,24 +81,24 @@
     of its step may be too. The next listing shows it, so it is kept.
     """
     partition = Partition(workers=1)
-    (run,) = started(partition.submit(make_step(lasts=True, max_unavailable=1)))
-    assert not stopped(partition.start_answered(run, Failure.UNKNOWN))
+    (run,) = started_runs(partition.submit(make_step(lasts=True, max_unavailable=1)))
+    assert not stopped_runs(partition.answer_start(run, Failure.UNKNOWN))
     row = RunningTask(task=run.task.name, attempt=1, saved="", percent=100.0, figure=0.0)
-    assert not stopped(partition.list_exactly("w0", row))
+    assert not stopped_runs(partition.list_runs("w0", row))
     assert run.state is RunState.RUNNING
 
 
 def test_lasting_task_whose_start_went_unanswered_is_stopped_if_it_does_not_run() -> None:
     partition = Partition(workers=1)
-    (run,) = started(partition.submit(make_step(lasts=True, max_unavailable=1)))
-    partition.start_answered(run, Failure.UNKNOWN)
-    assert stopped(partition.list_exactly("w0")) == [run]
+    (run,) = started_runs(partition.submit(make_step(lasts=True, max_unavailable=1)))
+    partition.answer_start(run, Failure.UNKNOWN)
+    assert stopped_runs(partition.list_runs("w0")) == [run]
 
 
 def test_refused_start_runs_elsewhere_at_once() -> None:
     partition = Partition()
-    (run,) = started(partition.submit(make_step()))
-    (again,) = started(partition.start_answered(run, Failure.REFUSED))
+    (run,) = started_runs(partition.submit(make_step()))
+    (again,) = started_runs(partition.answer_start(run, Failure.REFUSED))
     assert again.attempt == run.attempt + 1
 
 
@@ -110,48 +110,48 @@
     """
     partition = Partition(workers=1, cpu=8000)
     partition.submit(make_step(cpu=4000))
-    (run,) = partition.start_all()
+    (run,) = partition.start_planned_runs()
     late = RunningTask(task=run.task.name, attempt=0, saved="", percent=1.0, figure=0.0)
     now = RunningTask(task=run.task.name, attempt=1, saved="", percent=1.0, figure=0.0)
-    effects = partition.list_exactly("w0", late, now)
-    assert [stop.attempt for stop in stopped(effects)] == [0]
+    effects = partition.list_runs("w0", late, now)
+    assert [stop.attempt for stop in stopped_runs(effects)] == [0]
     assert partition.state.workers["w0"].used_cpu == 8000
 
 
 def test_done_job_is_complete_only_with_its_last_task() -> None:
     partition = Partition()
     partition.submit(make_step(count=2))
-    first, second = partition.start_all()
-    partition.end(first)
+    first, second = partition.start_planned_runs()
+    partition.end_run(first)
     assert partition.job().state is JobState.ACTIVE
-    partition.end(second)
+    partition.end_run(second)
     assert partition.job().state is JobState.COMPLETE
 
 
 def test_repeated_submission_changes_nothing() -> None:
     partition = Partition()
     partition.submit(make_step())
-    assert not started(partition.submit(make_step()))
-    (run,) = partition.start_all()
-    partition.end(run)
-    assert not started(partition.submit(make_step()))
+    assert not started_runs(partition.submit(make_step()))
+    (run,) = partition.start_planned_runs()
+    partition.end_run(run)
+    assert not started_runs(partition.submit(make_step()))
     assert partition.job().state is JobState.COMPLETE
 
 
 def test_cancel_of_a_planned_start_frees_its_room_and_sends_nothing() -> None:
     partition = Partition(workers=1)
-    (run,) = started(partition.submit(make_step()))
+    (run,) = started_runs(partition.submit(make_step()))
     assert run.state is RunState.PLANNED
-    assert not stopped(partition.cancel())
+    assert not stopped_runs(partition.cancel())
     assert partition.state.workers["w0"].used_cpu == 0
     assert run not in run.task.runs
 
 
 def test_gang_starts_whole_or_not_at_all() -> None:
     partition = Partition(workers=2, cpu=4000)
-    assert not started(partition.submit(make_step(count=5, cpu=2000, is_gang=True)))
+    assert not started_runs(partition.submit(make_step(count=5, cpu=2000, is_gang=True)))
     assert all(worker.used_cpu == 0 for worker in partition.state.workers.values())
-    runs = started(partition.submit(make_step(count=4, is_gang=True), job_id=OTHER_JOB))
+    runs = started_runs(partition.submit(make_step(count=4, is_gang=True), job_id=OTHER_JOB))
     assert len(runs) == 4
     assert {run.attempt for run in runs} == {1}
 
@@ -159,8 +159,8 @@
 def test_end_of_one_gang_member_stands_for_all() -> None:
     partition = Partition()
     partition.submit(make_step(count=2, is_gang=True))
-    first, _ = partition.start_all()
-    partition.end(first)
+    first, _ = partition.start_planned_runs()
+    partition.end_run(first)
     assert partition.job().state is JobState.COMPLETE
 
 
@@ -168,4 +168,4 @@
     partition = Partition()
     partition.submit(make_step(), job_id=JOB)
     partition.submit(make_step(), job_id=OTHER_JOB)
-    assert {run.task.step.job.id for run in started(partition.effects)} == {JOB, OTHER_JOB}
+    assert {run.task.step.job.id for run in started_runs(partition.effects)} == {JOB, OTHER_JOB}
--- a/tests/dispatch/test_machine.py
+++ b/tests/dispatch/test_state_machine.py
@@ -42,7 +42,7 @@
 from heatherkeel.platform.workers import Listing, RunningTask
 
 from .partition import Partition, make_entry, make_step
-from .real_workers import CPU, FIRST_BORN, LateOrder, RealWorker
+from .simulated_workers import CPU, FIRST_BORN, LateOrder, RealWorker
 
 LEASE_MS = 6000
 TASK_CPU = 2000
@@ -163,8 +163,8 @@
         until_ms = self._lease(run.worker_id)
         order = self._make_order(run, "start", until_ms)
         error = self._send(order, fate)
-        answered = StartAnswered(**self.partition.at(), run=run, error=error)
-        self._collect(self.partition.give(answered))
+        answered = StartAnswered(**self.partition.event_times(), run=run, error=error)
+        self._collect(self.partition.apply(answered))
 
     def _perform_stop(self, effect: StopTask, fate: str) -> None:
         run = effect.run
@@ -172,8 +172,8 @@
             return
         order = self._make_order(run, "stop", 0)
         error = self._send(order, fate)
-        answered = StopAnswered(**self.partition.at(), run=run, error=error)
-        self._collect(self.partition.give(answered))
+        answered = StopAnswered(**self.partition.event_times(), run=run, error=error)
+        self._collect(self.partition.apply(answered))
 
     def _make_order(self, run: Run, kind: str, until_ms: int) -> LateOrder:
         return LateOrder(
@@ -244,7 +244,7 @@
         believed = known[number % len(known)]
         worker = self.workers[believed.id]
         if is_silent or not worker.is_alive:
-            self._collect(self.partition.fail(worker.id))
+            self._collect(self.partition.fail_listing(worker.id))
             return
         if self.partition.state.token < worker.token:
             return
@@ -268,13 +268,13 @@
             ended=list(worker.ended),
         )
         answered = WorkerAnswered(
-            **self.partition.at(),
+            **self.partition.event_times(),
             worker_id=worker.id,
             sent_ms=sent_ms,
             listing=listing,
             acknowledged=acknowledged,
         )
-        self._collect(self.partition.give(answered))
+        self._collect(self.partition.apply(answered))
 
     def _note_ends(self, worker: RealWorker, acknowledged: int) -> None:
         """Let a worker forget ends up to a number, also such as come later."""
@@ -343,7 +343,9 @@
     def list_lives(self) -> None:
         """The list of machines is read."""
         alive = frozenset(worker.id for worker in self.workers.values() if worker.is_alive)
-        self._collect(self.partition.give(LivesListed(**self.partition.at(), worker_ids=alive)))
+        self._collect(
+            self.partition.apply(LivesListed(**self.partition.event_times(), worker_ids=alive))
+        )
 
     @rule()
     def find_dead_workers(self) -> None:
@@ -353,7 +355,7 @@
         if not known:
             return
         for worker in known:
-            self._collect(self.partition.fail(worker.id))
+            self._collect(self.partition.fail_listing(worker.id))
         self.pass_time(SILENT_MS)
         self.list_lives()
 
--- a/tests/dispatch/test_tickets.py
+++ b/tests/dispatch/test_tickets.py
@@ -10,7 +10,7 @@
 from heatherkeel.platform.advice import Advisor
 from heatherkeel.platform.errors import CallError, Failure
 
-from .partition import Partition, make_step, started
+from .partition import Partition, make_step, started_runs
 
 
 def advised(**sizes: int) -> Partition:
@@ -19,7 +19,7 @@
     queue = msgspec.structs.replace(
         partition.state.queues["quotes"], advisor=Advisor(decision_ms=20, validity_ms=3000)
     )
-    partition.give(QueuesChanged(**partition.at(), queues={"quotes": queue}))
+    partition.apply(QueuesChanged(**partition.event_times(), queues={"quotes": queue}))
     return partition
 
 
@@ -33,27 +33,27 @@
     """Answer a question."""
     partition.now_ms += 30
     told = AdviceTold(
-        **partition.at(),
+        **partition.event_times(),
         step=question.step,
         worker_ids=question.worker_ids,
         tickets=tickets,
         asked_ms=partition.now_ms - 30,
         validity_ms=3000,
     )
-    return partition.give(told)
+    return partition.apply(told)
 
 
 def test_nothing_starts_before_the_advisor_has_told() -> None:
     partition = advised(workers=3)
     effects = partition.submit(make_step(count=2))
-    assert not started(effects)
+    assert not started_runs(effects)
     assert sorted(asked(effects).worker_ids) == ["w0", "w1", "w2"]
 
 
 def test_starts_go_to_allowed_workers_with_their_tickets() -> None:
     partition = advised(workers=3)
     question = asked(partition.submit(make_step(count=2)))
-    runs = started(tell(partition, question, w1="t1"))
+    runs = started_runs(tell(partition, question, w1="t1"))
     assert {(run.worker_id, run.ticket) for run in runs} == {("w1", "t1")}
 
 
@@ -62,7 +62,7 @@
     question = asked(partition.submit(make_step()))
     silent = dataclasses.replace(
         AdviceTold(
-            **partition.at(),
+            **partition.event_times(),
             step=question.step,
             worker_ids=question.worker_ids,
             tickets=None,
@@ -70,7 +70,7 @@
             validity_ms=0,
         )
     )
-    partition.give(silent)
+    partition.apply(silent)
     partition.effects.clear()
     partition.tick(2000)
     assert asked(partition.effects).worker_ids == ("w0",)
@@ -83,11 +83,11 @@
     """
     partition = advised(workers=1)
     question = asked(partition.submit(make_step()))
-    (run,) = started(tell(partition, question, w0="old"))
+    (run,) = started_runs(tell(partition, question, w0="old"))
     error = CallError(failure=Failure.RESERVED, detail="ticket")
-    effects = partition.give(StartAnswered(**partition.at(), run=run, error=error))
-    assert not started(effects)
-    (run,) = started(tell(partition, asked(effects), w0="new"))
+    effects = partition.apply(StartAnswered(**partition.event_times(), run=run, error=error))
+    assert not started_runs(effects)
+    (run,) = started_runs(tell(partition, asked(effects), w0="new"))
     assert run.ticket == "new"
 
 
