--- a/tests/dispatch/partition.py
+++ b/tests/dispatch/partition.py
@@ -1,4 +1,4 @@
-"""A partition without a process: events go in, and effects are kept."""
+"""Test harness that applies events to a partition's state and keeps the effects."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Partition:
-    """One partition's state, with a clock that tests move, and workers that it keeps honest."""
+    """A partition's state with a clock that tests advance and workers that list their runs."""
 
     def __init__(self, *, workers: int = 2, cpu: int = 8000, max_failures: int = 2) -> None:
         self.state = PartitionState(token=7, lease_ms=6000, status_ms=120_000)
@@ -43,7 +43,7 @@
         self.effects: list[Effect] = []
         self.ends: dict[str, list[EndedTask]] = {}
         self.born_ms: dict[str, int] = {}
-        """When the present life of a worker that has started again began."""
+        """Start times of the current incarnations of restarted workers."""
         queue = Queue(
             name="quotes",
             host="a.example",
@@ -60,17 +60,17 @@
             self.list_known_runs(worker_id)
 
     def event_times(self) -> dict[str, Any]:
-        """Return the times of an event."""
+        """Return the time fields of an event."""
         return {"now_ms": self.now_ms, "wall_ms": self.now_ms}
 
     def apply(self, event: Event) -> list[Effect]:
-        """Reduce one event; returns its effects, which are kept too."""
+        """Reduce one event; keep and return its effects."""
         effects = reduce_event(self.state, event)
         self.effects += effects
         return effects
 
     def list_workers(self) -> list[Effect]:
-        """Say which workers have entries."""
+        """Apply the current worker entries."""
         return self.apply(WorkersListed(**self.event_times(), entries=dict(self.entries)))
 
     def submit(self, *steps: StepRequest, job_id: str = JOB) -> list[Effect]:
@@ -91,16 +91,16 @@
         return self.apply(JobCanceled(**self.event_times(), job_id=job_id))
 
     def mark_leaving(self, *worker_ids: str) -> list[Effect]:
-        """Say that the machines of these workers are to go."""
+        """Report that the machines of these workers are about to be removed."""
         return self.apply(WorkersLeaving(**self.event_times(), worker_ids=frozenset(worker_ids)))
 
     def tick(self, ms: int) -> list[Effect]:
-        """Let time pass."""
+        """Advance the clock and apply a tick."""
         self.now_ms += ms
         return self.apply(Tick(**self.event_times()))
 
     def list_known_runs(self, worker_id: str, *, percent: float = 50.0) -> list[Effect]:
-        """Let a worker list the runs that it was told to start, and its ends."""
+        """Let a worker list all runs with an answered start, and its ends."""
         self.now_ms += 10
         worker = self.state.workers[worker_id]
         running = [
@@ -119,7 +119,7 @@
         )
 
     def list_runs(self, worker_id: str, *running: RunningTask) -> list[Effect]:
-        """Let a worker list just these runs, and its ends."""
+        """Let a worker list exactly these runs, and its ends."""
         self.now_ms += 10
         listing = self._list(worker_id, list(running))
         return self.apply(
@@ -135,7 +135,7 @@
         return Listing(clock_ms=clock_ms, born=born_ms or 1, running=running, ended=ended)
 
     def restart_worker(self, worker_id: str, *, is_listed: bool = True) -> None:
-        """Let a worker start again under its id; its entry may tell of it later."""
+        """Restart a worker under its id; with `is_listed=False` its entry is updated later."""
         self.now_ms += 10
         self.born_ms[worker_id] = self.now_ms
         self.ends[worker_id] = []
@@ -143,18 +143,18 @@
             self.write_entry(worker_id)
 
     def write_entry(self, worker_id: str) -> None:
-        """Let a worker write its entry anew."""
+        """Update a worker's entry to its current incarnation."""
         born = self.born_ms.get(worker_id, 1)
         self.entries[worker_id] = msgspec.structs.replace(self.entries[worker_id], born=born)
         self.list_workers()
 
     def fail_listing(self, worker_id: str, failure: Failure = Failure.UNKNOWN) -> list[Effect]:
-        """Let a listing fail."""
+        """Apply a failed listing call."""
         error = CallError(failure=failure)
         return self.apply(WorkerFailed(**self.event_times(), worker_id=worker_id, error=error))
 
     def end_run(self, run: Run, outcome: str = "done", saved: str = "") -> list[Effect]:
-        """Let a run end, and its worker list that."""
+        """End a run and let its worker list the end."""
         ends = self.ends.setdefault(run.worker_id, [])
         ends.append(
             EndedTask(
@@ -172,12 +172,12 @@
     def answer_start(
         self, run: Run, failure: Failure | None = None, *, detail: str = ""
     ) -> list[Effect]:
-        """Let a start be answered, or its time run out."""
+        """Apply the answer to a start, or its failure."""
         error = CallError(failure=failure, detail=detail) if failure else None
         return self.apply(StartAnswered(**self.event_times(), run=run, error=error))
 
     def start_planned_runs(self) -> list[Run]:
-        """Let every planned start be answered with success; returns the runs."""
+        """Answer every planned start with success and return the runs."""
         runs = started_runs(self.effects)
         self.effects = [effect for effect in self.effects if not isinstance(effect, StartTask)]
         for run in runs:
@@ -208,16 +208,16 @@
 
 
 def make_step(count: int = 1, cpu: int = 2000, **more: object) -> StepRequest:
-    """Return a step of some tasks."""
+    """Return a step request."""
     fields: dict[str, object] = {"estimated_ms": 500, "memory_mb": 100} | more
     return StepRequest(count=count, cpu=cpu, **fields)  # type: ignore[arg-type]
 
 
 def started_runs(effects: list[Effect]) -> list[Run]:
-    """Return the runs that effects start."""
+    """Return the runs started by the effects."""
     return [effect.run for effect in effects if isinstance(effect, StartTask)]
 
 
 def stopped_runs(effects: list[Effect]) -> list[Run]:
-    """Return the runs that effects stop."""
+    """Return the runs stopped by the effects."""
     return [effect.run for effect in effects if isinstance(effect, StopTask)]
--- a/tests/dispatch/simulated_workers.py
+++ b/tests/dispatch/simulated_workers.py
@@ -1,4 +1,4 @@
-"""Workers as they really are, for the state machine of dispatching."""
+"""Simulated workers for the dispatch state machine."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 CPU = 4000
 FIRST_BORN = 1
-"""When the first life under each id began."""
+"""Start time of the first incarnation under each id."""
 
 
 @dataclass
-class RealWorker:
-    """What a worker really does, by the published protocol."""
+class SimulatedWorker:
+    """A worker that follows the documented worker protocol."""
 
     id: str
     token: int = 0
@@ -24,17 +24,17 @@
     numbers: int = 0
     cpu: int = CPU
     known_cpu: int = CPU
-    """The room that starts are held to: what its entry, or that of the life before, has told."""
+    """Capacity in the latest entry, possibly one of an earlier incarnation; limits the starts."""
     is_alive: bool = True
     born: int = 0
     acknowledged: int = 0
 
     def clock(self, now_ms: int) -> int:
-        """Return the clock of this life: that of a first life is far ahead."""
+        """Return the clock of this incarnation; that of a first incarnation is far ahead."""
         return now_ms + 500_000 if self.born == FIRST_BORN else now_ms - self.born
 
     def start(self, task: str, attempt: int, token: int, until_ms: int, now_ms: int) -> str:
-        """Start a task; returns why not, or nothing."""
+        """Start a task and return the refusal reason, or an empty string."""
         if token < self.token:
             return "fence"
         self.token = token
@@ -49,7 +49,7 @@
         return ""
 
     def stop(self, task: str, attempt: int, token: int) -> str:
-        """Stop a task, at once; returns why not, or nothing."""
+        """Stop a task at once and return the refusal reason, or an empty string."""
         if token < self.token:
             return "fence"
         self.token = token
@@ -67,16 +67,16 @@
             EndedTask(number=self.numbers, task=task, attempt=attempt, outcome=outcome, saved="")
         )
 
-    def look(self, now_ms: int) -> None:
-        """Kill everything whose lease has run out."""
+    def expire_lease(self, now_ms: int) -> None:
+        """End all runs if the lease has expired."""
         if now_ms > self.lease_until_ms:
             for task in list(self.runs):
                 self.end(task, "lapsed")
 
 
 @dataclass(frozen=True, kw_only=True)
-class LateOrder:
-    """An order that is carried out some time after it was given up."""
+class DelayedOrder:
+    """An order that may reach its worker after the owner has given up on it."""
 
     worker_id: str
     kind: str
@@ -84,7 +84,7 @@
     attempt: int
     token: int
     until_ms: int
-    worker: RealWorker
-    """The life that it has reached: a later one knows nothing of it."""
+    worker: SimulatedWorker
+    """The incarnation that receives the order."""
     cpu: int
-    """The worker's room when the order was sent; it can't know of less if it comes late."""
+    """The worker's published capacity when the order was sent."""
--- a/tests/dispatch/surge.py
+++ b/tests/dispatch/surge.py
@@ -1,4 +1,4 @@
-"""A simulated pool of one share: jobs come at a pace, tasks take time, the reducer decides."""
+"""Simulation of a pool with one partition that receives a surge of jobs."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 WORKER_CPU = 64_000
 TICK_MS = 100
 MEAN_WORK_S = 17.5
-"""Core-seconds of a job drawn below, on average of 2,000."""
+"""Mean work of a job from `draw_steps`, in core-seconds."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """How many jobs came, were done in time, late, or too late to be worth anything."""
+    """Numbers of jobs that arrived, and that ended in time, late, or too late to be useful."""
 
-    came: int
+    arrived: int
     in_time: int
     late: int
-    worthless: int
+    unserved: int
     largest_served: float
-    """Share of the largest tenth, by work, that was done in time or late."""
+    """Fraction of the largest tenth of jobs, by work, that ended in time or late."""
 
-    def share_in_time(self) -> float:
-        """Return the share done by the objective."""
-        return self.in_time / self.came
+    def fraction_in_time(self) -> float:
+        """Return the fraction of jobs that met their objective."""
+        return self.in_time / self.arrived
 
-    def share_unserved(self) -> float:
-        """Return the share that came too late to be worth anything."""
-        return self.worthless / self.came
+    def fraction_unserved(self) -> float:
+        """Return the fraction of jobs that ended too late to be useful."""
+        return self.unserved / self.arrived
 
 
 def draw_steps(random: Random) -> list[StepRequest]:
-    """Draw a short job: one or two steps of some six tasks of a few cores and half a second."""
+    """Draw a short job: up to three steps of a few tasks of some cores and half a second."""
     steps = []
     for number in range(random.choice([1, 1, 2, 2, 3]) if random.random() < 0.8 else 1):
         steps.append(
@@ -58,24 +58,24 @@
 
 
 class Surge:
-    """Jobs that come for some seconds at a multiple of what a pool's room can do."""
+    """Simulates jobs that arrive at a multiple of a pool's capacity."""
 
     def __init__(self, *, workers: int, seed: int) -> None:
         self.random = Random(seed)
         self.partition = Partition(workers=workers, cpu=WORKER_CPU)
-        self.room_cores = workers * WORKER_CPU / 1000
+        self.capacity_cores = workers * WORKER_CPU / 1000
         self.events: list[tuple[int, int, Run | None]] = []
         self.order = itertools.count()
         self.ended: dict[str, list[EndedTask]] = {}
         self.jobs: list[Job] = []
-        self.began_ms = 0
+        self.start_ms = 0
 
     def run(
         self, *, load: float, for_s: float, then_load: float = 0.0, then_s: float = 0.0
     ) -> Outcome:
-        """Let jobs come at `load` times the room, then at another, and wait until all are done."""
+        """Submit jobs at `load` times the capacity, then at `then_load`, until all have ended."""
         partition = self.partition
-        self.began_ms = partition.now_ms
+        self.start_ms = partition.now_ms
         self._draw_arrivals(load, from_s=0.0, until_s=for_s)
         if then_load:
             self._draw_arrivals(then_load, from_s=for_s, until_s=for_s + then_s)
@@ -86,19 +86,19 @@
                 last_tick_ms += TICK_MS
                 partition.now_ms = last_tick_ms
                 partition.tick(0)
-                self._carry_out()
+                self._execute_effects()
             partition.now_ms = now_ms
             if run is None:
                 self._submit()
             else:
                 self._end(run)
-            self._carry_out()
-        return self._judge()
+            self._execute_effects()
+        return self._count_outcomes()
 
     def _draw_arrivals(self, load: float, *, from_s: float, until_s: float) -> None:
-        gap_ms = 1000 * MEAN_WORK_S / (load * self.room_cores)
-        at_ms = self.began_ms + 1000 * from_s
-        until_ms = self.began_ms + 1000 * until_s
+        gap_ms = 1000 * MEAN_WORK_S / (load * self.capacity_cores)
+        at_ms = self.start_ms + 1000 * from_s
+        until_ms = self.start_ms + 1000 * until_s
         while (at_ms := at_ms + self.random.expovariate(1 / gap_ms)) < until_ms:
             heapq.heappush(self.events, (round(at_ms), next(self.order), None))
 
@@ -107,8 +107,8 @@
         self.partition.submit(*draw_steps(self.random), job_id=job_id)
         self.jobs.append(self.partition.job(job_id))
 
-    def _carry_out(self) -> None:
-        """Begin what was started; a task takes what was declared, give or take a fifth."""
+    def _execute_effects(self) -> None:
+        """Begin the started runs; their durations vary around the declared ones by a fifth."""
         effects, self.partition.effects = self.partition.effects, []
         for effect in effects:
             if not isinstance(effect, StartTask):
@@ -143,21 +143,23 @@
             )
         )
 
-    def _judge(self) -> Outcome:
-        came = len(self.jobs)
-        in_time = sum(count_objectives(job) <= 1 for job in self.jobs)
-        served = sum(count_objectives(job) <= 3 for job in self.jobs)
-        largest = sorted(self.jobs, key=lambda job: work_ahead(job.request.steps)[0])[-came // 10 :]
+    def _count_outcomes(self) -> Outcome:
+        arrived = len(self.jobs)
+        in_time = sum(relative_duration(job) <= 1 for job in self.jobs)
+        served = sum(relative_duration(job) <= 3 for job in self.jobs)
+        largest = sorted(self.jobs, key=lambda job: work_ahead(job.request.steps)[0])[
+            -arrived // 10 :
+        ]
         return Outcome(
-            came=came,
+            arrived=arrived,
             in_time=in_time,
             late=served - in_time,
-            worthless=came - served,
-            largest_served=sum(count_objectives(job) <= 3 for job in largest) / len(largest),
+            unserved=arrived - served,
+            largest_served=sum(relative_duration(job) <= 3 for job in largest) / len(largest),
         )
 
 
-def count_objectives(job: Job) -> float:
-    """Return how long a job took, in units of its objective."""
-    assert job.ended_ms is not None, "every job is done in the end"
+def relative_duration(job: Job) -> float:
+    """Return a job's duration as a multiple of its objective."""
+    assert job.ended_ms is not None, "a job has not ended"
     return (job.ended_ms - job.accepted_ms) / (job.due_ms - job.accepted_ms)
--- a/tests/dispatch/test_crashing_pool.py
+++ b/tests/dispatch/test_crashing_pool.py
@@ -1,8 +1,4 @@
-"""One job in ten has a task that crashes each worker that starts it.
-
-Callers of the other nine see their jobs late, or failed for no fault of theirs: whatever is started
-on a worker goes down with it, is started beside the next such task, and is suspected as much as it.
-"""
+"""Simulations that guard against jobs that crash workers making other jobs late or failed."""
 
 from __future__ import annotations
 
@@ -12,21 +8,21 @@
 
 SEEDS = [1, 2, 3, 4]
 MOST_CRASHES = 5
-"""Of one task: three, and two more starts."""
-FEWEST_IN_TIME = 0.5
-"""Two crashes for each such job keep five of twelve workers away at any time."""
+"""Allowed for one task: three crashes and two more starts."""
+MIN_IN_TIME_FRACTION = 0.5
+"""Fraction of the other jobs; crashes keep about five of twelve workers down."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_jobs_beside_those_that_crash_workers_are_served(seed: int) -> None:
-    outcome = CrashingPool(seed=seed, crashing_share=0.1).play(seconds=30, jobs_a_second=6)
+def test_other_jobs_finish_while_some_jobs_crash_workers(seed: int) -> None:
+    outcome = CrashingPool(seed=seed, crashing_fraction=0.1).run(seconds=30, jobs_per_second=6)
     assert outcome.crashing > 5
     assert outcome.crashing_failed == outcome.crashing
     assert outcome.most_crashes <= MOST_CRASHES
     assert outcome.others_failed == 0
-    assert outcome.others_in_time >= FEWEST_IN_TIME * outcome.others
+    assert outcome.others_in_time >= MIN_IN_TIME_FRACTION * outcome.others
 
 
-def test_pool_without_such_jobs_is_as_before() -> None:
-    outcome = CrashingPool(seed=1, crashing_share=0.0).play(seconds=10, jobs_a_second=6)
+def test_pool_without_crashing_jobs_meets_all_objectives() -> None:
+    outcome = CrashingPool(seed=1, crashing_fraction=0.0).run(seconds=10, jobs_per_second=6)
     assert outcome.others_in_time == outcome.others
--- a/tests/dispatch/test_state_machine.py
+++ b/tests/dispatch/test_state_machine.py
@@ -42,7 +42,7 @@
 from heatherkeel.platform.workers import Listing, RunningTask
 
 from .partition import Partition, make_entry, make_step
-from .simulated_workers import CPU, FIRST_BORN, LateOrder, RealWorker
+from .simulated_workers import CPU, FIRST_BORN, DelayedOrder, SimulatedWorker
 
 LEASE_MS = 6000
 TASK_CPU = 2000
@@ -57,14 +57,14 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.workers: dict[str, RealWorker] = {}
-        self.everyone: list[RealWorker] = []
+        self.workers: dict[str, SimulatedWorker] = {}
+        self.everyone: list[SimulatedWorker] = []
         self.lives = 0
         self.partition = Partition(workers=0)
         self.requests: dict[str, bytes] = {}
         self.progress: dict[str, bytes] = {}
         self.waiting: list[Effect] = []
-        self.late: list[LateOrder] = []
+        self.late: list[DelayedOrder] = []
         self.noted: set[str] = set()
         self.jobs = 0
         self.crashes = 0
@@ -76,7 +76,7 @@
 
     def _add_worker(self) -> None:
         self.lives += 1
-        worker = RealWorker(id=f"w{self.lives}", born=FIRST_BORN)
+        worker = SimulatedWorker(id=f"w{self.lives}", born=FIRST_BORN)
         self.workers[worker.id] = worker
         self.everyone.append(worker)
         self.partition.entries[worker.id] = make_entry(cpu=CPU, born=worker.born)
@@ -175,8 +175,8 @@
         answered = StopAnswered(**self.partition.event_times(), run=run, error=error)
         self._collect(self.partition.apply(answered))
 
-    def _make_order(self, run: Run, kind: str, until_ms: int) -> LateOrder:
-        return LateOrder(
+    def _make_order(self, run: Run, kind: str, until_ms: int) -> DelayedOrder:
+        return DelayedOrder(
             worker_id=run.worker_id,
             kind=kind,
             task=run.task.name,
@@ -187,7 +187,7 @@
             cpu=self.workers[run.worker_id].known_cpu,
         )
 
-    def _send(self, order: LateOrder, fate: str) -> CallError | None:
+    def _send(self, order: DelayedOrder, fate: str) -> CallError | None:
         worker = order.worker
         if not worker.is_alive:
             return CallError(failure=Failure.REFUSED)
@@ -203,7 +203,7 @@
         failure = Failure.FENCED if reason == "fence" else Failure.RESERVED
         return CallError(failure=failure, detail=reason)
 
-    def _carry_out(self, order: LateOrder) -> str:
+    def _carry_out(self, order: DelayedOrder) -> str:
         worker = order.worker
         now_ms = worker.clock(self.partition.now_ms)
         if order.kind == "stop":
@@ -276,7 +276,7 @@
         )
         self._collect(self.partition.apply(answered))
 
-    def _note_ends(self, worker: RealWorker, acknowledged: int) -> None:
+    def _note_ends(self, worker: SimulatedWorker, acknowledged: int) -> None:
         """Let a worker forget ends up to a number, also such as come later."""
         worker.acknowledged = max(worker.acknowledged, acknowledged)
         for ended in worker.ended:
@@ -289,7 +289,7 @@
         """Some time passes."""
         self._collect(self.partition.tick(ms))
         for worker in self.workers.values():
-            worker.look(worker.clock(self.partition.now_ms))
+            worker.expire_lease(worker.clock(self.partition.now_ms))
 
     @precondition(lambda self: any(worker.runs for worker in self.workers.values()))
     @rule(number=st.integers(0, 1))
@@ -314,7 +314,7 @@
         earlier.is_alive = False
         earlier.runs.clear()
         self.partition.now_ms += 10
-        later = RealWorker(
+        later = SimulatedWorker(
             id=earlier.id, born=self.partition.now_ms, cpu=cpu, known_cpu=earlier.known_cpu
         )
         self.workers[later.id] = later
@@ -326,12 +326,12 @@
         alive = [worker for worker in self.workers.values() if worker.is_alive]
         self._write_entry(alive[number % len(alive)])
 
-    def _write_entry(self, worker: RealWorker) -> None:
+    def _write_entry(self, worker: SimulatedWorker) -> None:
         worker.known_cpu = worker.cpu
         self.partition.entries[worker.id] = make_entry(cpu=worker.cpu, born=worker.born)
         self._list()
 
-    def _kill(self, worker: RealWorker) -> None:
+    def _kill(self, worker: SimulatedWorker) -> None:
         worker.is_alive = False
         worker.runs.clear()
         worker.ended.clear()
