--- a/tests/dispatch/test_large_jobs.py
+++ b/tests/dispatch/test_large_jobs.py
@@ -1,9 +1,4 @@
-"""A job that is too large for its owner.
-
-The owner's process runs out of memory, or stands still, and is killed; the partition goes to the
-next process, which reads the same job and is killed as well, one after the other. Its queue isn't
-served by anybody, and its caller has been told that the job was accepted.
-"""
+"""Large jobs: guards against one that exhausts the memory of each owner that loads it."""
 
 from __future__ import annotations
 
@@ -16,14 +11,14 @@
 from .partition import JOB, Partition, make_step
 
 
-def unfinished(partition: Partition) -> list[Task]:
-    """Return the tasks of the occurrences that have begun."""
+def unfinished_tasks(partition: Partition) -> list[Task]:
+    """Return the unfinished tasks of the occurrences that have begun."""
     steps = partition.job().steps()
     return [task for step in steps for task in step.tasks if not task.is_done]
 
 
 def submit_repeated(partition: Partition, *, count: int, times: int) -> None:
-    """Submit a job all of whose occurrences are due already."""
+    """Submit a job whose occurrences are all due."""
     request = JobRequest(
         spec="s", steps=(make_step(count=count, cpu=100),), repeat_count=times, start_at_ms=1
     )
@@ -42,10 +37,10 @@
 def test_occurrences_that_are_due_at_once_begin_a_bounded_number_at_a_time() -> None:
     partition = Partition()
     submit_repeated(partition, count=1000, times=1_000_000_000)
-    assert len(unfinished(partition)) <= MAX_OPEN_TASKS
+    assert len(unfinished_tasks(partition)) <= MAX_OPEN_TASKS
 
 
-def test_held_back_occurrences_begin_when_earlier_ones_are_done() -> None:
+def test_deferred_occurrences_begin_when_earlier_ones_are_done() -> None:
     partition = Partition()
     times = 3 * MAX_OPEN_TASKS // 1000
     submit_repeated(partition, count=1000, times=times)
@@ -58,8 +53,8 @@
     assert len(partition.job().occurrences) == times
 
 
-def test_name_that_is_no_task_names_no_task() -> None:
-    """A worker lists something that nobody here has started."""
+def test_unknown_task_name_is_not_found() -> None:
+    """Guards against errors on a listed task that this owner didn't start."""
     state = Partition().state
     assert find_task(state, "stray") is None
     assert find_task(state, f"{JOB}.0.x.1") is None
--- a/tests/dispatch/test_load.py
+++ b/tests/dispatch/test_load.py
@@ -1,4 +1,4 @@
-"""What a pool's owner tells of its load, by which machines come and go."""
+"""Load that a partition's owner reports for each pool, by which pools gain and lose machines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .partition import OTHER_JOB, Partition
 
 
-def test_memory_counts_of_what_runs_and_of_what_waits() -> None:
+def test_load_counts_running_and_waiting_tasks() -> None:
     partition = Partition(workers=1, cpu=8000)
     partition.submit(StepRequest(count=12, cpu=1000, memory_mb=50, estimated_ms=100))
     (load,) = measure_pools(partition.state)
@@ -20,8 +20,8 @@
     assert load.lacking == 0
 
 
-def test_lasting_tasks_without_room_ask_for_workers() -> None:
-    """Two of six lasting tasks find no worker; what ends soon by itself isn't counted with them."""
+def test_waiting_long_running_tasks_request_workers() -> None:
+    """Guards against counting short tasks, which free their capacity soon."""
     partition = Partition(workers=1, cpu=8000)
     partition.submit(StepRequest(count=6, cpu=2000, lasts=True))
     partition.submit(StepRequest(count=3, cpu=2000, estimated_ms=100), job_id=OTHER_JOB)
@@ -29,20 +29,16 @@
     assert load.lacking == 1
 
 
-def test_step_that_spreads_asks_for_as_many_workers_as_it_must_have() -> None:
-    """Twelve lasting tasks, one a worker at the most, meet a share of four workers.
-
-    The room of the four would hold them all, so by their sums nothing was missing; half of the
-    tasks had to wait while machines came one every two seconds.
-    """
+def test_step_with_max_per_worker_requests_enough_workers() -> None:
+    """Guards against a lack computed from total capacity alone, without `max_per_worker`."""
     partition = Partition(workers=4, cpu=8000)
     partition.submit(StepRequest(count=12, cpu=100, lasts=True, max_per_worker=1))
     (load,) = measure_pools(partition.state)
     assert load.lacking == 8
 
 
-def test_tasks_that_no_worker_can_ever_hold_ask_for_none() -> None:
-    """A job that can never be done waits; machines that came for it would come without end."""
+def test_tasks_that_fit_no_worker_request_none() -> None:
+    """Guards against requesting machines without end for a job that fits none of them."""
     partition = Partition(workers=2, cpu=8000)
     partition.submit(StepRequest(count=2, cpu=9000, lasts=True))
     partition.submit(StepRequest(count=2, cpu=100, lasts=True, label="gpu"), job_id=OTHER_JOB)
@@ -50,12 +46,8 @@
     assert load.lacking == 0
 
 
-def test_step_that_waits_with_nothing_to_start_asks_for_none() -> None:
-    """A lasting task ran on a worker that fell silent; its step waits until that is settled.
-
-    Nothing of the step can start meanwhile. Its owner ended with a division by zero, and with it
-    all partitions of the process.
-    """
+def test_waiting_step_with_nothing_to_start_requests_no_worker() -> None:
+    """Guards against a division by zero that ended the owner's process."""
     partition = Partition(workers=1, cpu=8000)
     partition.list_known_runs("w0")
     partition.submit(StepRequest(count=1, cpu=2000, lasts=True))
@@ -65,8 +57,8 @@
     assert load.lacking == 0
 
 
-def test_needs_that_no_worker_of_the_share_has_are_told() -> None:
-    """A step wants a label, another more processor than any worker has; a third only waits."""
+def test_needs_that_no_worker_meets_are_reported() -> None:
+    """Guards against reporting a step that only waits together with those that fit no worker."""
     partition = Partition(workers=2, cpu=8000)
     partition.submit(
         StepRequest(count=1, cpu=100, estimated_ms=100, label="b"),
@@ -77,12 +69,8 @@
     assert load.needs == [Need(label="b", cpu=100), Need(cpu=9000)]
 
 
-def test_task_that_fits_beside_no_lasting_task_is_a_need() -> None:
-    """A task of most of a machine waits in a share whose every machine has a lasting task.
-
-    By the sums its share has room, and an empty machine of that size would do, so nothing was
-    moved: the job had nothing running for as long as the lasting tasks stayed.
-    """
+def test_task_that_fits_beside_no_long_running_task_is_a_need() -> None:
+    """Guards against a large task that waits for as long as long-running tasks hold each worker."""
     partition = Partition(workers=2, cpu=64_000)
     partition.submit(StepRequest(count=2, cpu=9000, lasts=True, max_per_worker=1), job_id=OTHER_JOB)
     partition.start_planned_runs()
@@ -98,11 +86,8 @@
     assert measure_pools(partition.state)[0].needs == []
 
 
-def test_work_that_is_worth_nothing_any_more_asks_for_no_machine() -> None:
-    """A turn that was beyond the room leaves jobs that nobody waits for any more.
-
-    They run when there is room; machines are for the jobs of the next pool in its turn.
-    """
+def test_jobs_long_past_their_objective_request_no_machines() -> None:
+    """Guards against machines for jobs that are too late to be useful to their callers."""
     partition = Partition(workers=1, cpu=8000)
     partition.submit(StepRequest(count=40, cpu=8000, estimated_ms=500))
     assert measure_pools(partition.state)[0].wanted_cpu == 40 * 8000
@@ -110,7 +95,7 @@
     assert measure_pools(partition.state)[0].wanted_cpu == 8000
 
 
-def test_label_of_a_worker_that_leaves_is_needed_anew() -> None:
+def test_label_of_a_leaving_worker_becomes_a_need() -> None:
     partition = Partition(workers=2, cpu=8000)
     partition.submit(StepRequest(count=9, cpu=8000, estimated_ms=100, label="a"))
     assert measure_pools(partition.state)[0].needs == []
@@ -118,10 +103,10 @@
     assert measure_pools(partition.state)[0].needs == [Need(label="a", cpu=8000)]
 
 
-def test_worker_that_does_not_answer_is_told_to_be_no_room() -> None:
-    """A worker falls silent for longer than one lost answer takes, and is heard again later.
+def test_unresponsive_worker_is_reported() -> None:
+    """Guards against counting the capacity of a worker that doesn't answer.
 
-    It stays listed while its heartbeats reach the store, so nobody else could tell.
+    The worker stays listed while its heartbeats reach the store.
     """
     partition = Partition(workers=2, cpu=8000)
     partition.fail_listing("w0")
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -1,8 +1,4 @@
-"""Where a step's tasks go, by how many jobs a lost worker or zone takes along.
-
-The load is that of a queue of short jobs in its turn: a dozen jobs at once, each of some tasks of a
-few cores, on workers of 64 cores in four zones.
-"""
+"""Placement of steps: guards against a lost worker or zone that affects many jobs."""
 
 from __future__ import annotations
 
@@ -17,7 +13,7 @@
 
 
 def make_partition(*, workers: int = 8, cpu: int = 64_000) -> Partition:
-    """Return a partition with workers dealt out over the zones."""
+    """Return a partition with workers spread evenly over the zones."""
     partition = Partition(workers=0)
     partition.entries = {
         f"w{number}": make_entry(cpu=cpu, zone=ZONES[number % len(ZONES)])
@@ -29,49 +25,45 @@
     return partition
 
 
-def submit_turn(partition: Partition, step: StepRequest) -> list[set[str]]:
-    """Submit the jobs of a turn; returns for each the workers on which its tasks are."""
+def submit_jobs(partition: Partition, step: StepRequest) -> list[set[str]]:
+    """Submit several jobs at once; return for each the workers that hold its tasks."""
     names = [f"{number:016x}" for number in range(JOBS)]
     for name in names:
         partition.submit(step, job_id=name)
     return [{run.worker_id for run in partition.job(name).runs()} for name in names]
 
 
-def test_lost_worker_takes_few_jobs_along() -> None:
-    """A worker is lost, or slow, in a pool's turn, and each job that has a task on it is late.
-
-    Twelve jobs of six tasks on eight workers: with each task on the emptiest worker nearly all
-    jobs would have one on any of them. Here a worker is given whole jobs.
-    """
+def test_lost_worker_affects_few_jobs() -> None:
+    """Guards against jobs spread over all workers, where any lost worker delays most."""
     partition = make_partition()
-    places = submit_turn(partition, make_step(count=6, cpu=3500))
-    assert all(len(workers) == 1 for workers in places)
-    hit = [sum(worker in workers for workers in places) for worker in partition.entries]
-    assert max(hit) <= 2
+    placements = submit_jobs(partition, make_step(count=6, cpu=3500))
+    assert all(len(workers) == 1 for workers in placements)
+    affected = [sum(worker in workers for workers in placements) for worker in partition.entries]
+    assert max(affected) <= 2
 
 
-def test_cut_zone_takes_no_more_jobs_along_than_its_share() -> None:
-    """A step that no worker has room for spreads, but within one zone.
+def test_step_too_large_for_one_worker_mostly_stays_in_one_zone() -> None:
+    """Guards against steps spread over several zones, which any unreachable zone delays.
 
-    When a zone is cut off, its tasks can't be started elsewhere before their leases have run out.
+    Tasks in such a zone can't start elsewhere before their leases have expired.
     """
     partition = make_partition(workers=16, cpu=16_000)
-    places = submit_turn(partition, make_step(count=6, cpu=3500))
-    zones = [{partition.entries[worker].zone for worker in workers} for workers in places]
+    placements = submit_jobs(partition, make_step(count=6, cpu=3500))
+    zones = [{partition.entries[worker].zone for worker in workers} for workers in placements]
     assert all(len(found) == 1 for found in zones[:8])
     assert sum(len(found) > 1 for found in zones) <= JOBS // 4
 
 
-def test_jobs_that_come_one_after_the_other_go_to_the_emptiest_workers() -> None:
+def test_consecutive_jobs_go_to_the_emptiest_workers() -> None:
     partition = make_partition(workers=4)
-    places = submit_turn(partition, make_step(count=2, cpu=4000))
-    assert len({worker for workers in places[:4] for worker in workers}) == 4
+    placements = submit_jobs(partition, make_step(count=2, cpu=4000))
+    assert len({worker for workers in placements[:4] for worker in workers}) == 4
 
 
 @pytest.mark.parametrize("most", [1, 2])
-def test_step_that_must_spread_does(most: int) -> None:
+def test_max_per_worker_is_respected(most: int) -> None:
     partition = make_partition()
     partition.submit(make_step(count=6, cpu=3500, max_per_worker=most))
-    held = [run.worker_id for run in partition.job(JOB).runs()]
-    assert len(held) == 6
-    assert max(held.count(worker) for worker in held) <= most
+    worker_ids = [run.worker_id for run in partition.job(JOB).runs()]
+    assert len(worker_ids) == 6
+    assert max(worker_ids.count(worker) for worker in worker_ids) <= most
