--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -1,4 +1,4 @@
-"""Workers fall silent, go, come back as others, or fail everything."""
+"""Workers that are unresponsive, lost, replaced, leaving, stalled, or that fail all tasks."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from .partition import JOB, OTHER_JOB, Partition, make_entry, make_step, started_runs, stopped_runs
 
 
-def start_on(partition: Partition, worker_id: str, job_id: str = JOB) -> Run:
-    """Start a job of one task on a given worker; returns its run."""
+def start_job_on(partition: Partition, worker_id: str, job_id: str = JOB) -> Run:
+    """Start a job of one task on a given worker and return its run."""
     partition.effects.clear()
     for worker in partition.state.workers.values():
         worker.is_leaving = worker.id != worker_id
@@ -25,14 +25,13 @@
     return run
 
 
-def test_silent_worker_keeps_its_tasks_until_its_lease_has_lapsed() -> None:
-    """A worker is cut off and runs on; its entry lapses in the store.
+def test_unresponsive_worker_keeps_its_tasks_until_its_lease_has_expired() -> None:
+    """Guards against a second run beside a worker that is cut off and continues.
 
-    Its task is neither gone nor free: started elsewhere, it would run twice. Once its lease has
-    surely run out, also by a clock that is 2% slow, the task starts elsewhere.
+    The lease must have expired even on a worker's clock that is 2% slow.
     """
     partition = Partition()
-    run = start_on(partition, "w0")
+    run = start_job_on(partition, "w0")
     partition.fail_listing("w0")
     del partition.entries["w0"]
     partition.list_workers()
@@ -46,20 +45,17 @@
     assert "w0" not in partition.state.workers
 
 
-def test_address_with_another_life_proves_that_the_worker_is_gone() -> None:
+def test_other_incarnation_at_its_address_proves_a_worker_gone() -> None:
     partition = Partition()
-    run = start_on(partition, "w0")
+    run = start_job_on(partition, "w0")
     partition.effects.clear()
     partition.fail_listing("w0", Failure.OTHER_INSTANCE)
     (again,) = started_runs(partition.effects)
     assert again.task is run.task
 
 
-def test_entry_of_a_life_that_is_gone_is_not_believed() -> None:
-    """A worker dies and another life takes its address; its own entry stands for seconds more.
-
-    Taken in again, the entry would be asked, and dropped, over and over until it lapses.
-    """
+def test_entry_of_a_gone_incarnation_is_ignored() -> None:
+    """Guards against adding and dropping a dead worker repeatedly until its entry expires."""
     partition = Partition()
     partition.fail_listing("w0", Failure.OTHER_INSTANCE)
     partition.list_workers()
@@ -69,9 +65,9 @@
     assert not partition.state.gone_lives
 
 
-def test_run_that_a_later_listing_lacks_starts_again() -> None:
+def test_run_missing_from_a_later_listing_starts_again() -> None:
     partition = Partition()
-    run = start_on(partition, "w0")
+    run = start_job_on(partition, "w0")
     partition.effects.clear()
     partition.now_ms += 10
     partition.list_runs("w0")
@@ -79,22 +75,21 @@
     assert again.attempt == run.attempt + 1
 
 
-def test_listing_asked_for_before_the_start_was_answered_proves_nothing() -> None:
-    """A listing waits at the worker while a task is started over another connection.
+def test_listing_requested_before_the_start_was_answered_is_no_proof() -> None:
+    """Guards against a second run when answers on different connections arrive out of order.
 
-    Answers on different connections overtake each other, so the listing may lack the task
-    though it runs. Only a listing asked for after the start's answer can prove it gone.
+    Only a listing requested after the start's answer can prove that the task is gone.
     """
     partition = Partition()
-    run = start_on(partition, "w0")
+    run = start_job_on(partition, "w0")
     partition.now_ms -= 10
     partition.list_runs("w0")
     assert run in run.task.runs
 
 
-def test_stopped_task_goes_on_from_what_it_saved() -> None:
+def test_stopped_task_resumes_from_its_saved_state() -> None:
     partition = Partition()
-    run = start_on(partition, "w0")
+    run = start_job_on(partition, "w0")
     partition.effects.clear()
     partition.end_run(run, "stopped", saved="half")
     (again,) = started_runs(partition.effects)
@@ -113,7 +108,7 @@
     assert len(stopped_runs(effects)) == 1
 
 
-def test_ends_other_than_failed_use_up_no_attempt() -> None:
+def test_only_failed_ends_count_as_failures() -> None:
     partition = Partition(max_failures=1)
     partition.submit(make_step())
     for _ in range(4):
@@ -122,15 +117,11 @@
     assert partition.job().state is JobState.ACTIVE
 
 
-def test_worker_that_fails_job_after_job_is_set_aside_and_tried_again() -> None:
-    """One worker fails all that it starts, so it is the emptiest of its pool.
-
-    It would get most of the work, and job after job would use up its attempts there. After
-    three jobs in a row it gets nothing for a while.
-    """
+def test_worker_that_fails_several_jobs_is_quarantined_for_a_while() -> None:
+    """Guards against a faulty worker that stays the emptiest and so gets most of the work."""
     partition = Partition(workers=3, max_failures=9)
     for number in range(3):
-        partition.end_run(start_on(partition, "w0", f"{number:016x}"), "failed")
+        partition.end_run(start_job_on(partition, "w0", f"{number:016x}"), "failed")
     assert partition.state.workers["w0"].aside_until_ms > partition.now_ms
     assert not partition.state.workers["w0"].runs
     partition.tick(GREY_PAUSE_MS)
@@ -144,11 +135,10 @@
     assert not started_runs(partition.submit(make_step()))
 
 
-def test_lasting_tasks_leave_one_at_a_time() -> None:
-    """Two machines with tasks of one lasting step are to be maintained at once.
+def test_long_running_tasks_are_moved_one_at_a_time() -> None:
+    """Guards against exceeding `max_unavailable` when two machines are drained at once.
 
-    The step may miss one task. The second is stopped only when the first is at work again
-    elsewhere, since a task that starts still counts as away.
+    A task that is still starting counts as unavailable.
     """
     partition = Partition(workers=4)
     partition.submit(make_step(count=2, cpu=100, lasts=True, max_unavailable=1, max_per_worker=1))
@@ -168,12 +158,8 @@
     assert {stop, other} == {first, second}
 
 
-def test_lasting_task_on_a_silent_worker_counts_as_away() -> None:
-    """A rack falls silent with a task of a lasting step; another task's machine is to go.
-
-    The silent worker's task seemed to be at work when it was last heard of. Stopping the other
-    one leaves two of the step away, where one may be.
-    """
+def test_long_running_task_on_an_unresponsive_worker_counts_as_unavailable() -> None:
+    """Guards against exceeding `max_unavailable` by trusting an unresponsive worker's listing."""
     partition = Partition(workers=3)
     partition.submit(make_step(count=2, cpu=100, lasts=True, max_unavailable=1, max_per_worker=1))
     first, second = partition.start_planned_runs()
@@ -183,7 +169,7 @@
     assert not stopped_runs(partition.mark_leaving(second.worker_id))
 
 
-def test_nothing_is_taken_off_a_leaving_worker_while_nothing_can_be_started() -> None:
+def test_leaving_worker_keeps_its_tasks_while_nothing_can_start() -> None:
     partition = Partition()
     partition.submit(make_step(cpu=100, lasts=True, max_unavailable=1))
     (run,) = partition.start_planned_runs()
@@ -192,11 +178,8 @@
     assert not stopped_runs(partition.mark_leaving(run.worker_id))
 
 
-def test_worker_serves_again_when_nobody_takes_it_away_any_more() -> None:
-    """The fleet's owner dies after it has named a worker that is to be emptied.
-
-    Left as leaving, the worker would get no work for good.
-    """
+def test_leaving_worker_gets_work_again_when_its_request_expires() -> None:
+    """Guards against a worker that gets no work for good after the fleet's owner died."""
     partition = Partition(workers=1)
     partition.mark_leaving("w0")
     assert not started_runs(partition.submit(make_step()))
@@ -204,14 +187,10 @@
     assert started_runs(partition.effects)
 
 
-def test_worker_is_empty_only_when_it_was_told_that_its_ends_are_stored() -> None:
-    """A task ends, and its worker's machine is to be maintained.
-
-    The machine takes its list of ends with it. Were the owner to die before it has stored the
-    end, the task would run again after it was done.
-    """
+def test_worker_is_empty_only_after_its_ends_were_acknowledged() -> None:
+    """Guards against rebooting a machine whose ends aren't stored, which would repeat its tasks."""
     partition = Partition()
-    run = start_on(partition, "w0")
+    run = start_job_on(partition, "w0")
     partition.end_run(run)
     worker = partition.state.workers["w0"]
     assert not worker.runs
@@ -220,9 +199,9 @@
     assert worker.is_empty()
 
 
-def test_silent_worker_whose_machine_is_in_another_life_is_given_up_at_once() -> None:
+def test_unresponsive_worker_replaced_on_its_machine_is_dropped_at_once() -> None:
     partition = Partition()
-    run = start_on(partition, "w0")
+    run = start_job_on(partition, "w0")
     partition.effects.clear()
     partition.fail_listing("w0")
     partition.now_ms += SILENT_MS
@@ -231,10 +210,10 @@
     assert again.task is run.task
 
 
-def test_silent_worker_that_its_machine_still_names_keeps_its_tasks() -> None:
-    """A worker is cut off from this process and from the store, and runs on."""
+def test_unresponsive_worker_that_its_machine_still_lists_keeps_its_tasks() -> None:
+    """Guards against a second run beside a worker that is only cut off."""
     partition = Partition()
-    start_on(partition, "w0")
+    start_job_on(partition, "w0")
     partition.effects.clear()
     partition.fail_listing("w0")
     partition.now_ms += SILENT_MS
@@ -242,15 +221,11 @@
     assert not started_runs(partition.effects)
 
 
-def test_worker_whose_tasks_stand_still_is_left() -> None:
-    """A worker answers and lists its tasks, but none of them gets any further.
-
-    Nothing ends, fails or lapses, so the jobs would wait for as long as the worker stands. Its
-    tasks are stopped and go on elsewhere, and it gets no work for a while.
-    """
+def test_worker_whose_tasks_are_all_stalled_is_quarantined() -> None:
+    """Guards against jobs that wait for good on a worker whose tasks make no progress."""
     partition = Partition(workers=4)
-    first = start_on(partition, "w0")
-    second = start_on(partition, "w0", OTHER_JOB)
+    first = start_job_on(partition, "w0")
+    second = start_job_on(partition, "w0", OTHER_JOB)
     partition.list_known_runs("w0", percent=30.0)
     partition.now_ms += STANDING_MS
     effects = partition.list_known_runs("w0", percent=30.0)
@@ -258,10 +233,10 @@
     assert not partition.state.workers["w0"].takes_work(partition.now_ms)
 
 
-def test_worker_with_one_task_that_moves_is_kept() -> None:
+def test_worker_with_one_progressing_task_is_kept() -> None:
     partition = Partition(workers=4)
-    first = start_on(partition, "w0")
-    second = start_on(partition, "w0", OTHER_JOB)
+    first = start_job_on(partition, "w0")
+    second = start_job_on(partition, "w0", OTHER_JOB)
     partition.list_known_runs("w0", percent=30.0)
     partition.now_ms += STANDING_MS
     rows = [
@@ -271,12 +246,8 @@
     assert not stopped_runs(partition.list_runs("w0", *rows))
 
 
-def test_worker_that_refuses_the_connection_is_not_tried_again_at_once() -> None:
-    """A machine has moved away, and its worker's entry stands for seconds more.
-
-    It is the emptiest of its pool, so a start that couldn't reach it goes to it again, each time
-    with a new attempt to store and a new connection. It gets no work before it is heard again.
-    """
+def test_worker_that_refuses_the_connection_is_not_retried_at_once() -> None:
+    """Guards against repeated starts on a worker that is gone but still has an entry."""
     partition = Partition(workers=2)
     worker = partition.state.workers["w0"]
     partition.state.workers["w1"].is_leaving = True
@@ -289,7 +260,7 @@
     assert worker.takes_work(partition.now_ms)
 
 
-def test_start_that_another_life_answered_proves_the_worker_gone() -> None:
+def test_start_answered_by_another_incarnation_proves_the_worker_gone() -> None:
     partition = Partition(workers=2)
     (run,) = started_runs(partition.submit(make_step()))
     (again,) = started_runs(partition.answer_start(run, Failure.OTHER_INSTANCE))
--- a/tests/dispatch/test_recovery.py
+++ b/tests/dispatch/test_recovery.py
@@ -1,4 +1,4 @@
-"""A partition is taken over by a new owner, who knows only what is stored."""
+"""Recovery of a partition by a new owner from the stored records."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from .partition import JOB, Partition, make_step, started_runs, stopped_runs
 
 
-def take_over(earlier: Partition, *, workers: int = 2, asked: bool = False) -> Partition:
-    """Return the partition as its next owner reads it; `asked` workers have told their runs."""
+def take_over(earlier: Partition, *, workers: int = 2, with_listings: bool = False) -> Partition:
+    """Return the partition as its next owner restores it, optionally with its workers listed."""
     job = earlier.job()
     request = StoredRequest(
         queue=job.queue, service=job.service, accepted_wall_ms=1000, request=job.request
@@ -40,18 +40,14 @@
     effects = Effects()
     stop_leftovers(later.state, effects)
     later.effects += effects.items
-    if asked:
+    if with_listings:
         for worker_id in later.entries:
             later.list_known_runs(worker_id)
     return later
 
 
-def test_silent_worker_of_an_earlier_owner_keeps_its_tasks_until_its_lease_has_lapsed() -> None:
-    """An owner dies, and its successor can't reach one of the workers, though it is listed.
-
-    The task there runs on under the lease that the earlier owner gave. Started elsewhere at
-    the first failed call, it runs twice.
-    """
+def test_unresponsive_worker_of_an_earlier_owner_keeps_its_tasks_for_its_lease() -> None:
+    """Guards against a second run while the lease granted by the earlier owner is valid."""
     earlier = Partition()
     earlier.submit(make_step())
     (run,) = earlier.start_planned_runs()
@@ -66,12 +62,12 @@
     assert again.attempt == run.attempt + 1
 
 
-def test_worker_that_falls_silent_after_its_first_listing_keeps_its_tasks_for_a_lease() -> None:
-    """Guards against a second run while the lease that the earlier owner gave goes on."""
+def test_worker_unresponsive_after_its_first_listing_keeps_its_tasks_for_a_lease() -> None:
+    """Guards against a second run while the lease granted by the earlier owner is valid."""
     earlier = Partition()
     earlier.submit(make_step())
     (run,) = earlier.start_planned_runs()
-    later = take_over(earlier, asked=True)
+    later = take_over(earlier, with_listings=True)
     later.fail_listing(run.worker_id)
     later.effects.clear()
     later.tick(LEASE_MS)
@@ -80,8 +76,8 @@
     assert [again.task.name for again in started_runs(later.effects)] == [run.task.name]
 
 
-def test_crash_of_a_worker_that_starts_again_under_a_next_owner_is_counted() -> None:
-    """Guards against starts without end of a task that crashes workers, owner after owner."""
+def test_crash_of_a_worker_that_restarts_under_the_next_owner_is_counted() -> None:
+    """Guards against endless restarts, under successive owners, of a task that crashes workers."""
     earlier = Partition()
     earlier.submit(make_step())
     (run,) = earlier.start_planned_runs()
@@ -92,16 +88,16 @@
     assert later.job().crashes == 1
 
 
-def test_task_that_a_worker_lists_is_taken_over_running() -> None:
+def test_task_that_a_worker_lists_keeps_running_under_the_next_owner() -> None:
     earlier = Partition()
     earlier.submit(make_step())
     (run,) = earlier.start_planned_runs()
-    later = take_over(earlier, asked=True)
+    later = take_over(earlier, with_listings=True)
     assert not started_runs(later.effects)
     assert later.state.workers[run.worker_id].used_cpu == 2000
 
 
-def test_start_that_never_left_is_given_anew_once_the_worker_has_told_its_runs() -> None:
+def test_unsent_start_is_repeated_once_the_worker_has_listed_its_runs() -> None:
     earlier = Partition()
     earlier.submit(make_step())
     (run,) = started_runs(earlier.effects)
@@ -111,11 +107,10 @@
     assert again.attempt == run.attempt + 1
 
 
-def test_cancel_is_carried_on_by_the_next_owner() -> None:
-    """A job is canceled, its end is stored, and the owner dies before its stops arrive.
+def test_cancel_is_continued_by_the_next_owner() -> None:
+    """Guards against tasks that keep running when the owner dies before its stops are sent.
 
-    The workers run on, and their leases are renewed with those of all other tasks. What still
-    runs of an ended job stays stored until it is gone, so the next owner stops it.
+    The runs of an ended job stay stored until they are gone.
     """
     earlier = Partition()
     earlier.submit(make_step())
@@ -134,7 +129,7 @@
     assert kinds.index(SaveJob) < kinds.index(ForgetJob)
 
 
-def test_run_of_a_job_that_nobody_knows_is_stopped() -> None:
+def test_run_of_an_unknown_job_is_stopped() -> None:
     partition = Partition()
     row = RunningTask(task="00000000000000ff.0.0.3", attempt=4, saved="", percent=1, figure=0)
     (run,) = stopped_runs(partition.list_runs("w0", row))
@@ -156,11 +151,10 @@
     assert later.job().request == JobRequest()
 
 
-def test_stop_of_a_lasting_task_is_known_to_the_next_owner() -> None:
-    """An owner stops a lasting task, since its machine is to go, and dies.
+def test_stop_of_a_long_running_task_is_known_to_the_next_owner() -> None:
+    """Guards against exceeding `max_unavailable` when the owner dies after it sent a stop.
 
-    For a moment the worker still lists the task at work. A next owner that doesn't know of the
-    stop takes it for that, and stops another one of the step: two are away where one may be.
+    The worker may still list the stopped task as running.
     """
     earlier = Partition(workers=4)
     earlier.submit(make_step(count=2, cpu=100, lasts=True, max_unavailable=1))
@@ -187,11 +181,8 @@
     assert not stopped_runs(later.effects)
 
 
-def test_tasks_that_were_not_listed_yet_are_taken_for_being_at_work() -> None:
-    """An owner takes over while machines with lasting tasks are to go.
-
-    It doesn't know yet which tasks are at work. Taken for idle, all of them are stopped at once.
-    """
+def test_tasks_not_listed_yet_count_as_running() -> None:
+    """Guards against a new owner that stops all tasks of a step before it has listed them."""
     earlier = Partition(workers=4)
     earlier.submit(make_step(count=4, cpu=100, lasts=True, max_unavailable=1))
     runs = earlier.start_planned_runs()
@@ -199,12 +190,8 @@
     assert not stopped_runs(later.mark_leaving(*{run.worker_id for run in runs}))
 
 
-def test_failed_end_that_is_listed_again_to_the_next_owner_counts_once() -> None:
-    """A task fails, its end is stored, and the owner dies before the worker is told so.
-
-    The worker lists the end to the next owner too. Counted again, the job is shown as failed
-    though no task has failed as often as it may.
-    """
+def test_failure_listed_again_to_the_next_owner_counts_once() -> None:
+    """Guards against failing a job by an end that was stored but not acknowledged."""
     earlier = Partition(workers=2, max_failures=2)
     earlier.submit(make_step())
     (run,) = earlier.start_planned_runs()
--- a/tests/dispatch/test_restarts.py
+++ b/tests/dispatch/test_restarts.py
@@ -1,4 +1,4 @@
-"""Workers start again under the ids that they had; pure decisions."""
+"""Workers that restart under their ids."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from heatherkeel.platform.workers import RunningTask
 
 from .partition import JOB, OTHER_JOB, Partition, make_step, started_runs, stopped_runs
-from .test_losses import start_on
+from .test_losses import start_job_on
 
 
-def give_up(partition: Partition, worker_id: str) -> None:
-    """Let a worker be silent for long, and its machine be listed as down."""
+def drop_worker(partition: Partition, worker_id: str) -> None:
+    """Let a worker be unresponsive until its machine is listed without it."""
     partition.fail_listing(worker_id)
     partition.tick(SILENT_MS)
     others = frozenset(partition.state.workers.keys() - {worker_id})
     partition.apply(LivesListed(**partition.event_times(), worker_ids=others))
 
 
-def list_run(partition: Partition, run: Run) -> None:
+def list_single_run(partition: Partition, run: Run) -> None:
     """Let a worker list one run."""
     row = RunningTask(task=run.task.name, attempt=run.attempt, saved="", percent=50, figure=0)
     partition.list_runs(run.worker_id, row)
 
 
-def test_lease_of_a_worker_that_started_again_lapses_by_its_new_clock() -> None:
-    """Guards against tasks that wait for good, since a lease counts by the earlier life's clock."""
+def test_lease_of_a_restarted_worker_expires_by_its_new_clock() -> None:
+    """Guards against tasks that wait for good on a lease measured by an old incarnation's clock."""
     partition = Partition(workers=1)
-    start_on(partition, "w0")
+    start_job_on(partition, "w0")
     partition.effects.clear()
     partition.restart_worker("w0")
     for _ in range(2):
@@ -44,32 +44,32 @@
     assert again.task.is_waiting()
 
 
-def test_end_in_a_new_life_counts_under_a_number_that_an_earlier_one_had() -> None:
-    """Guards against tasks that run again after their ends (TWICE)."""
+def test_end_of_a_new_incarnation_counts_with_a_reused_number() -> None:
+    """Guards against tasks that run again after their ends."""
     partition = Partition(workers=1)
     for job_id in (JOB, OTHER_JOB):
-        partition.end_run(start_on(partition, "w0", job_id))
+        partition.end_run(start_job_on(partition, "w0", job_id))
     partition.restart_worker("w0")
     partition.list_runs("w0")
-    partition.end_run(start_on(partition, "w0", "00000000000000cc"))
+    partition.end_run(start_job_on(partition, "w0", "00000000000000cc"))
     assert partition.job("00000000000000cc").state is JobState.COMPLETE
 
 
-def test_ends_of_a_new_life_are_not_acknowledged_by_numbers_of_an_earlier_one() -> None:
+def test_ends_of_a_new_incarnation_are_not_acknowledged_by_old_numbers() -> None:
     """Guards against ends that a worker forgets before it has listed them."""
     partition = Partition(workers=1)
-    partition.end_run(start_on(partition, "w0"))
+    partition.end_run(start_job_on(partition, "w0"))
     partition.state.workers["w0"].acknowledged = 1
     partition.restart_worker("w0")
     worker = partition.state.workers["w0"]
     assert (worker.seen, worker.acknowledged, worker.told) == (0, 0, 0)
 
 
-def test_worker_that_was_given_up_is_used_again_in_its_next_life() -> None:
-    """Guards against jobs that wait for good beside a worker that is up (LOST)."""
+def test_dropped_worker_is_used_again_in_its_next_incarnation() -> None:
+    """Guards against jobs that wait for good though a worker is available."""
     partition = Partition(workers=1)
-    start_on(partition, "w0")
-    give_up(partition, "w0")
+    start_job_on(partition, "w0")
+    drop_worker(partition, "w0")
     partition.list_workers()
     assert "w0" not in partition.state.workers
     partition.restart_worker("w0")
@@ -77,44 +77,46 @@
     assert started_runs(partition.effects)[-1].worker_id == "w0"
 
 
-def test_entry_without_a_start_is_not_believed_of_a_worker_that_was_given_up() -> None:
-    """Guards against a dead worker that is asked, and dropped, until its entry lapses."""
+def test_entry_without_a_start_time_is_ignored_for_a_dropped_worker() -> None:
+    """Guards against adding and dropping a dead worker repeatedly until its entry expires."""
     partition = Partition(workers=1)
-    give_up(partition, "w0")
+    drop_worker(partition, "w0")
     partition.entries["w0"] = msgspec.structs.replace(partition.entries["w0"], born=0)
     partition.list_workers()
     assert "w0" not in partition.state.workers
 
 
-def test_late_entry_of_an_earlier_life_changes_nothing() -> None:
-    """Guards against a worker that changes its life with each reading of a store that is behind."""
+def test_late_entry_of_an_earlier_incarnation_changes_nothing() -> None:
+    """Guards against a worker that switches incarnations when the store returns old entries."""
     partition = Partition(workers=1)
     earlier = partition.entries["w0"]
     partition.restart_worker("w0")
     partition.list_known_runs("w0")
-    run = start_on(partition, "w0")
-    list_run(partition, run)
+    run = start_job_on(partition, "w0")
+    list_single_run(partition, run)
     partition.entries["w0"] = earlier
     partition.list_workers()
     assert run in run.task.runs
     assert partition.state.workers["w0"].born == partition.born_ms["w0"]
 
 
-def test_late_entry_of_a_life_that_was_never_met_changes_nothing() -> None:
-    """Guards against a second run beside one that is taken for gone, since a store reads behind."""
+def test_late_entry_of_an_unseen_incarnation_changes_nothing() -> None:
+    """Guards against a second run when the store returns the entry of an unseen incarnation."""
     partition = Partition(workers=1)
     partition.restart_worker("w0")
     partition.list_known_runs("w0")
-    run = start_on(partition, "w0")
-    list_run(partition, run)
-    late = msgspec.structs.replace(partition.entries["w0"], born=partition.born_ms["w0"] - 500)
-    partition.entries["w0"] = late
+    run = start_job_on(partition, "w0")
+    list_single_run(partition, run)
+    late_entry = msgspec.structs.replace(
+        partition.entries["w0"], born=partition.born_ms["w0"] - 500
+    )
+    partition.entries["w0"] = late_entry
     partition.list_workers()
     assert run in run.task.runs
 
 
-def test_new_life_takes_no_work_before_its_room_is_known() -> None:
-    """Guards against starts beyond the room of a worker that came back smaller (LIMIT)."""
+def test_new_incarnation_gets_no_work_before_its_capacity_is_known() -> None:
+    """Guards against overloading a worker that restarted with less capacity."""
     partition = Partition(workers=1)
     partition.restart_worker("w0", is_listed=False)
     partition.list_runs("w0")
@@ -131,10 +133,10 @@
     assert [run.task.step.job.id for run in started_runs(partition.effects)] == [OTHER_JOB]
 
 
-def test_run_that_an_earlier_life_listed_starts_again_at_once() -> None:
+def test_run_listed_by_an_earlier_incarnation_starts_again_at_once() -> None:
     partition = Partition()
-    run = start_on(partition, "w0")
-    list_run(partition, run)
+    run = start_job_on(partition, "w0")
+    list_single_run(partition, run)
     partition.effects.clear()
     partition.restart_worker("w0")
     (again,) = started_runs(partition.effects)
@@ -142,21 +144,21 @@
     assert run.task.crashes == 1
 
 
-def test_start_that_reached_the_new_life_goes_on() -> None:
-    """Guards against a second run beside one that the new life began before it was known."""
+def test_start_that_reached_the_new_incarnation_continues() -> None:
+    """Guards against a second run beside one that a new incarnation started before it was known."""
     partition = Partition()
-    run = start_on(partition, "w0")
+    run = start_job_on(partition, "w0")
     partition.effects.clear()
     partition.restart_worker("w0")
-    list_run(partition, run)
+    list_single_run(partition, run)
     partition.tick(100)
     assert run.task.runs == [run]
     assert run.worker_id in partition.state.workers
     assert not started_runs(partition.effects)
 
 
-def test_start_without_an_answer_is_stopped_in_the_new_life_before_its_task_starts_again() -> None:
-    """Guards against a second run beside an order that the new life carries out late."""
+def test_unanswered_start_is_stopped_in_the_new_incarnation_before_it_is_repeated() -> None:
+    """Guards against a second run beside a start that the new incarnation executes late."""
     partition = Partition()
     partition.submit(make_step())
     (run,) = started_runs(partition.effects)
@@ -169,7 +171,7 @@
     assert not started_runs(partition.effects)
 
 
-def test_start_that_was_not_sent_is_taken_back() -> None:
+def test_unsent_start_is_canceled_and_planned_again() -> None:
     partition = Partition(workers=1)
     partition.submit(make_step())
     (planned,) = started_runs(partition.effects)
@@ -180,13 +182,13 @@
     assert [run.attempt for run in started_runs(partition.effects)] == [2]
 
 
-def test_silent_new_life_keeps_what_it_may_run_for_the_longest_lease() -> None:
-    """Guards against a second run while a lease that the new life has shortened goes on."""
+def test_unresponsive_new_incarnation_keeps_its_runs_for_the_longest_lease() -> None:
+    """Guards against a second run while a lease is valid that the new incarnation has shortened."""
     partition = Partition()
     partition.state.longest_lease_ms = 2 * LEASE_MS
-    run = start_on(partition, "w0")
+    run = start_job_on(partition, "w0")
     partition.restart_worker("w0")
-    list_run(partition, run)
+    list_single_run(partition, run)
     partition.effects.clear()
     partition.fail_listing("w0")
     partition.tick(LEASE_MS + 1000)
@@ -195,8 +197,8 @@
     assert [again.task for again in started_runs(partition.effects)] == [run.task]
 
 
-def test_task_that_crashes_workers_that_start_again_is_given_up() -> None:
-    """Guards against starts without end where workers come back under their ids (BUDGET)."""
+def test_task_that_crashes_restarting_workers_is_given_up() -> None:
+    """Guards against endless restarts of a task when workers restart under their ids."""
     partition = Partition(workers=3)
     partition.submit(make_step())
     for _ in range(6):
@@ -211,10 +213,10 @@
     assert run.attempt <= 3
 
 
-def test_worker_that_starts_again_in_another_pool_is_taken_in_there() -> None:
-    """Guards against a process that ends since a worker isn't in the pool that its entry names."""
+def test_worker_that_restarts_in_another_pool_leaves_the_partition() -> None:
+    """Guards against an error that ends the process when a worker isn't in its entry's pool."""
     partition = Partition(workers=1)
-    start_on(partition, "w0")
+    start_job_on(partition, "w0")
     moved = msgspec.structs.replace(partition.entries["w0"], service="other")
     partition.entries["w0"] = moved
     partition.restart_worker("w0")
@@ -222,7 +224,7 @@
     assert not partition.state.workers
 
 
-def test_sessions_change_with_the_life() -> None:
+def test_new_incarnation_opens_new_sessions() -> None:
     partition = Partition(workers=1)
     partition.effects.clear()
     partition.restart_worker("w0")
@@ -230,9 +232,9 @@
 
 
 def test_ends_are_acknowledged_once_and_only_to_a_worker_that_has_just_answered() -> None:
-    """Guards against ends that another life forgets since an earlier one's were acknowledged."""
+    """Guards against a new incarnation that drops its ends by an old acknowledgement."""
     partition = Partition(workers=1)
-    partition.end_run(start_on(partition, "w0"))
+    partition.end_run(start_job_on(partition, "w0"))
     worker = partition.state.workers["w0"]
     worker.acknowledged = worker.seen
     assert worker.to_acknowledge(partition.now_ms) == 1
