--- a/tests/dispatch/simulated_workers.py
+++ b/tests/dispatch/simulated_workers.py
@@ -75,8 +75,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class DelayedOrder:
-    """An order that may reach its worker after the owner has given up on it."""
+class SentOrder:
+    """An order to a worker, which may arrive after the owner has given up on it."""
 
     worker_id: str
     kind: str
--- a/tests/dispatch/test_state_machine.py
+++ b/tests/dispatch/test_state_machine.py
@@ -1,10 +1,6 @@
-"""Owners, workers and the store in any order of events: no task twice, no room exceeded.
+"""Stateful test of owners, workers and the store under faults in any order.
 
-The reducer's effects are carried out one by one, or lost with their owner. Orders are answered, or
-not; carried out, or not, or later; workers end tasks, fall silent, die and lose their leases. What
-real workers do is checked, not what the owner believes. One job's first task crashes each worker
-that starts it, and workers' rooms shrink and grow: one counts as soon as its entry tells of it.
-Workers also start again under their ids, which their listings tell, and later their entries.
+Checks the state of the simulated workers, not the owner's view of it.
 """
 
 from __future__ import annotations
@@ -42,60 +38,60 @@
 from heatherkeel.platform.workers import Listing, RunningTask
 
 from .partition import Partition, make_entry, make_step
-from .simulated_workers import CPU, FIRST_BORN, DelayedOrder, SimulatedWorker
+from .simulated_workers import CPU, FIRST_BORN, SentOrder, SimulatedWorker
 
 LEASE_MS = 6000
 TASK_CPU = 2000
 CRASHING = f"{2:016x}.0.0.0"
-"""The task that crashes workers, of the second job."""
+"""The first task of the second job crashes its workers."""
 MOST_CRASHES = 5
-"""Three workers may crash under a task, and it may be started twice more after that."""
+"""Allowed for one task: three crashes and two more starts."""
 
 
 class DispatchMachine(RuleBasedStateMachine):
-    """Two workers, an owner and its successors."""
+    """Two workers with an owner and its successors."""
 
     def __init__(self) -> None:
         super().__init__()
         self.workers: dict[str, SimulatedWorker] = {}
-        self.everyone: list[SimulatedWorker] = []
-        self.lives = 0
+        self.all_workers: list[SimulatedWorker] = []
+        self.incarnations = 0
         self.partition = Partition(workers=0)
         self.requests: dict[str, bytes] = {}
         self.progress: dict[str, bytes] = {}
-        self.waiting: list[Effect] = []
-        self.late: list[DelayedOrder] = []
-        self.noted: set[str] = set()
+        self.pending_effects: list[Effect] = []
+        self.delayed_orders: list[SentOrder] = []
+        self.acknowledged_tasks: set[str] = set()
         self.jobs = 0
         self.crashes = 0
         for _ in range(2):
             self._add_worker()
-        self._list()
+        self._apply_entries()
 
-    # What happens to the fleet.
+    # Events and faults.
 
     def _add_worker(self) -> None:
-        self.lives += 1
-        worker = SimulatedWorker(id=f"w{self.lives}", born=FIRST_BORN)
+        self.incarnations += 1
+        worker = SimulatedWorker(id=f"w{self.incarnations}", born=FIRST_BORN)
         self.workers[worker.id] = worker
-        self.everyone.append(worker)
+        self.all_workers.append(worker)
         self.partition.entries[worker.id] = make_entry(cpu=CPU, born=worker.born)
 
-    def _list(self) -> None:
-        self._collect(self.partition.list_workers())
+    def _apply_entries(self) -> None:
+        self._queue_effects(self.partition.list_workers())
 
-    def _collect(self, effects: list[Effect]) -> None:
-        self.waiting += effects
+    def _queue_effects(self, effects: list[Effect]) -> None:
+        self.pending_effects += effects
 
     @rule()
     def submit(self) -> None:
-        """A job comes."""
+        """Submit a job."""
         if self.jobs >= 5:
             return
         self.jobs += 1
         job_id = f"{self.jobs:016x}"
         step = make_step(count=2, cpu=TASK_CPU)
-        self._collect(self.partition.submit(step, job_id=job_id))
+        self._queue_effects(self.partition.submit(step, job_id=job_id))
         job = self.partition.job(job_id)
         stored = StoredRequest(
             queue="quotes", service="portal", accepted_wall_ms=1000, request=job.request
@@ -105,36 +101,36 @@
     @precondition(lambda self: self.jobs)
     @rule(number=st.integers(1, 5))
     def cancel(self, number: int) -> None:
-        """A job is canceled."""
+        """Cancel a job."""
         job_id = f"{min(number, self.jobs):016x}"
         if self.partition.state.find_job(job_id):
-            self._collect(self.partition.cancel(job_id))
+            self._queue_effects(self.partition.cancel(job_id))
 
     @rule()
-    def work_on(self) -> None:
-        """Everything goes well for a while."""
+    def run_undisturbed(self) -> None:
+        """Run without faults for a while."""
         for _ in range(2):
-            # Bounded: a stop that can't reach its worker is sent again and again.
-            for _ in range(len(self.waiting) + 10):
-                if self.waiting:
-                    self.perform("done")
+            # Bounded, since a stop that can't reach its worker is repeated.
+            for _ in range(len(self.pending_effects) + 10):
+                if self.pending_effects:
+                    self.execute_next_effect("done")
             for number in range(len(self.partition.state.workers)):
-                self.hold(number, False)
+                self.list_worker_runs(number, False)
             self.find_dead_workers()
 
-    @precondition(lambda self: self.waiting)
-    @rule(fate=st.sampled_from(["done", "unanswered", "lost", "late"]))
-    def perform_some(self, fate: str) -> None:
-        """The owner's process carries out its effects up to the next order."""
-        for _ in range(len(self.waiting)):
-            is_order = isinstance(self.waiting[0], StartTask | StopTask)
-            self.perform(fate)
+    @precondition(lambda self: self.pending_effects)
+    @rule(delivery=st.sampled_from(["done", "unanswered", "lost", "late"]))
+    def execute_until_order(self, delivery: str) -> None:
+        """Execute effects up to and including the next order."""
+        for _ in range(len(self.pending_effects)):
+            is_order = isinstance(self.pending_effects[0], StartTask | StopTask)
+            self.execute_next_effect(delivery)
             if is_order:
                 return
 
-    def perform(self, fate: str) -> None:
-        """Carry out the next effect."""
-        effect = self.waiting.pop(0)
+    def execute_next_effect(self, delivery: str) -> None:
+        """Execute the next effect."""
+        effect = self.pending_effects.pop(0)
         match effect:
             case SaveJob():
                 job = self.partition.state.find_job(effect.job_id)
@@ -145,38 +141,38 @@
             case AcknowledgeEnds():
                 effect.worker.acknowledged = max(effect.worker.acknowledged, effect.number)
             case StartTask():
-                self._perform_start(effect, fate)
+                self._execute_start(effect, delivery)
             case StopTask():
-                self._perform_stop(effect, fate)
+                self._execute_stop(effect, delivery)
 
-    def _lease(self, worker_id: str) -> int:
+    def _extend_lease(self, worker_id: str) -> int:
         worker = self.partition.state.workers[worker_id]
         until_ms = worker.clock_at(self.partition.now_ms) + LEASE_MS
         worker.lease_until_ms = max(worker.lease_until_ms, until_ms)
         return until_ms
 
-    def _perform_start(self, effect: StartTask, fate: str) -> None:
+    def _execute_start(self, effect: StartTask, delivery: str) -> None:
         run = effect.run
         if run not in run.task.runs or run.state is not RunState.PLANNED:
             return
         run.state = RunState.SENT
-        until_ms = self._lease(run.worker_id)
+        until_ms = self._extend_lease(run.worker_id)
         order = self._make_order(run, "start", until_ms)
-        error = self._send(order, fate)
+        error = self._send(order, delivery)
         answered = StartAnswered(**self.partition.event_times(), run=run, error=error)
-        self._collect(self.partition.apply(answered))
+        self._queue_effects(self.partition.apply(answered))
 
-    def _perform_stop(self, effect: StopTask, fate: str) -> None:
+    def _execute_stop(self, effect: StopTask, delivery: str) -> None:
         run = effect.run
         if run not in run.task.runs:
             return
         order = self._make_order(run, "stop", 0)
-        error = self._send(order, fate)
+        error = self._send(order, delivery)
         answered = StopAnswered(**self.partition.event_times(), run=run, error=error)
-        self._collect(self.partition.apply(answered))
+        self._queue_effects(self.partition.apply(answered))
 
-    def _make_order(self, run: Run, kind: str, until_ms: int) -> DelayedOrder:
-        return DelayedOrder(
+    def _make_order(self, run: Run, kind: str, until_ms: int) -> SentOrder:
+        return SentOrder(
             worker_id=run.worker_id,
             kind=kind,
             task=run.task.name,
@@ -187,23 +183,23 @@
             cpu=self.workers[run.worker_id].known_cpu,
         )
 
-    def _send(self, order: DelayedOrder, fate: str) -> CallError | None:
+    def _send(self, order: SentOrder, delivery: str) -> CallError | None:
         worker = order.worker
         if not worker.is_alive:
             return CallError(failure=Failure.REFUSED)
-        if fate == "late":
-            self.late.append(order)
-        if fate in ("lost", "late"):
+        if delivery == "late":
+            self.delayed_orders.append(order)
+        if delivery in ("lost", "late"):
             return CallError(failure=Failure.UNKNOWN)
-        reason = self._carry_out(order)
-        if fate == "unanswered":
+        reason = self._deliver(order)
+        if delivery == "unanswered":
             return CallError(failure=Failure.UNKNOWN)
         if not reason:
             return None
         failure = Failure.FENCED if reason == "fence" else Failure.RESERVED
         return CallError(failure=failure, detail=reason)
 
-    def _carry_out(self, order: DelayedOrder) -> str:
+    def _deliver(self, order: SentOrder) -> str:
         worker = order.worker
         now_ms = worker.clock(self.partition.now_ms)
         if order.kind == "stop":
@@ -211,7 +207,9 @@
         was_running = order.task in worker.runs
         reason = worker.start(order.task, order.attempt, order.token, order.until_ms, now_ms)
         if not reason and not was_running:
-            assert order.task not in self.noted, f"{order.task} starts after its end was noted"
+            assert (
+                order.task not in self.acknowledged_tasks
+            ), f"{order.task} starts after its end was acknowledged"
             self.no_task_runs_twice()
             assert len(worker.runs) * TASK_CPU <= max(worker.known_cpu, order.cpu), worker
             if order.task == CRASHING:
@@ -219,40 +217,40 @@
                 self._kill(worker)
         return reason
 
-    @precondition(lambda self: self.late)
+    @precondition(lambda self: self.delayed_orders)
     @rule()
-    def carry_out_late(self) -> None:
-        """An order that was given up is carried out."""
-        order = self.late.pop(0)
+    def deliver_delayed_order(self) -> None:
+        """Deliver an order on which the owner has given up."""
+        order = self.delayed_orders.pop(0)
         if order.worker.is_alive:
-            self._carry_out(order)
+            self._deliver(order)
 
     @rule(number=st.integers(0, 3), fails=st.booleans())
     def end_task(self, number: int, fails: bool) -> None:
-        """A task ends at its worker."""
+        """End a task on its worker."""
         running = [(w, task) for w in self.workers.values() if w.is_alive for task in w.runs]
         if running:
             worker, task = running[number % len(running)]
             worker.end(task, "failed" if fails and number == 3 else "done")
 
-    @rule(number=st.integers(0, 5), is_silent=st.booleans())
-    def hold(self, number: int, is_silent: bool) -> None:
-        """The owner lists a worker's tasks, or doesn't reach it."""
-        known = [w for w in self.partition.state.workers.values() if w.id in self.workers]
-        if not known:
+    @rule(number=st.integers(0, 5), is_unreachable=st.booleans())
+    def list_worker_runs(self, number: int, is_unreachable: bool) -> None:
+        """List a worker's runs, or fail to reach it."""
+        known_workers = [w for w in self.partition.state.workers.values() if w.id in self.workers]
+        if not known_workers:
             return
-        believed = known[number % len(known)]
-        worker = self.workers[believed.id]
-        if is_silent or not worker.is_alive:
-            self._collect(self.partition.fail_listing(worker.id))
+        known_worker = known_workers[number % len(known_workers)]
+        worker = self.workers[known_worker.id]
+        if is_unreachable or not worker.is_alive:
+            self._queue_effects(self.partition.fail_listing(worker.id))
             return
         if self.partition.state.token < worker.token:
             return
         worker.token = self.partition.state.token
-        if believed.is_ready():
-            worker.lease_until_ms = max(worker.lease_until_ms, self._lease(worker.id))
-        acknowledged = believed.to_acknowledge(self.partition.now_ms)
-        self._note_ends(worker, acknowledged)
+        if known_worker.is_ready():
+            worker.lease_until_ms = max(worker.lease_until_ms, self._extend_lease(worker.id))
+        acknowledged = known_worker.to_acknowledge(self.partition.now_ms)
+        self._acknowledge_ends(worker, acknowledged)
         sent_ms = self.partition.now_ms
         self.partition.now_ms += 10
         rows = [
@@ -274,33 +272,33 @@
             listing=listing,
             acknowledged=acknowledged,
         )
-        self._collect(self.partition.apply(answered))
+        self._queue_effects(self.partition.apply(answered))
 
-    def _note_ends(self, worker: SimulatedWorker, acknowledged: int) -> None:
-        """Let a worker forget ends up to a number, also such as come later."""
+    def _acknowledge_ends(self, worker: SimulatedWorker, acknowledged: int) -> None:
+        """Let a worker forget its ends, including later ones, up to a number."""
         worker.acknowledged = max(worker.acknowledged, acknowledged)
         for ended in worker.ended:
             if ended.number <= worker.acknowledged and ended.outcome == "done":
-                self.noted.add(ended.task)
+                self.acknowledged_tasks.add(ended.task)
         worker.ended = [ended for ended in worker.ended if ended.number > worker.acknowledged]
 
     @rule(ms=st.sampled_from([50, 400, 1300, 7000]))
     def pass_time(self, ms: int) -> None:
-        """Some time passes."""
-        self._collect(self.partition.tick(ms))
+        """Advance the clock."""
+        self._queue_effects(self.partition.tick(ms))
         for worker in self.workers.values():
             worker.expire_lease(worker.clock(self.partition.now_ms))
 
     @precondition(lambda self: any(worker.runs for worker in self.workers.values()))
     @rule(number=st.integers(0, 1))
     def kill_worker(self, number: int) -> None:
-        """A worker dies with all that it ran, and a new life begins on its machine."""
+        """Kill a worker with all its runs and start a new one on its machine."""
         alive = [worker for worker in self.workers.values() if worker.is_alive]
         self._kill(alive[number % len(alive)])
 
     @rule(number=st.integers(0, 1), cpu=st.sampled_from([0, TASK_CPU, CPU]))
     def resize_worker(self, number: int, cpu: int) -> None:
-        """A worker's room changes, and its entry tells of it."""
+        """Change a worker's capacity and its entry."""
         alive = [worker for worker in self.workers.values() if worker.is_alive]
         worker = alive[number % len(alive)]
         worker.cpu = cpu
@@ -308,7 +306,7 @@
 
     @rule(number=st.integers(0, 1), cpu=st.sampled_from([TASK_CPU, CPU]))
     def restart_worker(self, number: int, cpu: int) -> None:
-        """A worker starts again under its id; its entry tells of it later."""
+        """Restart a worker under its id; its entry is updated later."""
         alive = [worker for worker in self.workers.values() if worker.is_alive]
         earlier = alive[number % len(alive)]
         earlier.is_alive = False
@@ -318,18 +316,18 @@
             id=earlier.id, born=self.partition.now_ms, cpu=cpu, known_cpu=earlier.known_cpu
         )
         self.workers[later.id] = later
-        self.everyone.append(later)
+        self.all_workers.append(later)
 
     @rule(number=st.integers(0, 1))
     def write_entry(self, number: int) -> None:
-        """A worker writes its entry."""
+        """Update a worker's entry."""
         alive = [worker for worker in self.workers.values() if worker.is_alive]
         self._write_entry(alive[number % len(alive)])
 
     def _write_entry(self, worker: SimulatedWorker) -> None:
         worker.known_cpu = worker.cpu
         self.partition.entries[worker.id] = make_entry(cpu=worker.cpu, born=worker.born)
-        self._list()
+        self._apply_entries()
 
     def _kill(self, worker: SimulatedWorker) -> None:
         worker.is_alive = False
@@ -337,40 +335,40 @@
         worker.ended.clear()
         del self.partition.entries[worker.id]
         self._add_worker()
-        self._list()
+        self._apply_entries()
 
     @rule()
-    def list_lives(self) -> None:
-        """The list of machines is read."""
+    def list_machines(self) -> None:
+        """Apply the list of machines."""
         alive = frozenset(worker.id for worker in self.workers.values() if worker.is_alive)
-        self._collect(
+        self._queue_effects(
             self.partition.apply(LivesListed(**self.partition.event_times(), worker_ids=alive))
         )
 
     @rule()
     def find_dead_workers(self) -> None:
-        """Dead workers don't answer, and the list of machines doesn't name them any more."""
+        """Fail the listings of dead workers until they are dropped."""
         dead = [worker for worker in self.workers.values() if not worker.is_alive]
         known = [worker for worker in dead if worker.id in self.partition.state.workers]
         if not known:
             return
         for worker in known:
-            self._collect(self.partition.fail_listing(worker.id))
+            self._queue_effects(self.partition.fail_listing(worker.id))
         self.pass_time(SILENT_MS)
-        self.list_lives()
+        self.list_machines()
 
     @precondition(lambda self: self.jobs)
     @rule()
     def take_over(self) -> None:
-        """The owner dies, with all that it hasn't carried out, and another takes over."""
+        """Replace the owner; its pending effects are lost."""
         earlier = self.partition
         later = Partition(workers=0)
         later.state.token = earlier.state.token + 1
         later.now_ms = later.state.now_ms = later.state.wall_ms = earlier.now_ms + 10
         later.entries = earlier.entries
         self.partition = later
-        self.waiting = []
-        self._list()
+        self.pending_effects = []
+        self._apply_entries()
         records = [
             KeyedRecord(key=f"{prefix}{job_id}", value=value, offset=offset)
             for offset, (prefix, job_id, value) in enumerate(
@@ -382,32 +380,32 @@
         restore_jobs(later.state, stored)
         for job_id, request in stored.requests.items():
             if job_id not in stored.progress:
-                self._collect(later.submit(*request.request.steps, job_id=job_id))
+                self._queue_effects(later.submit(*request.request.steps, job_id=job_id))
         effects = Effects()
         stop_leftovers(later.state, effects)
-        self._collect(effects.items)
+        self._queue_effects(effects.items)
 
-    # What must hold.
+    # Invariants.
 
     @invariant()
     def no_task_runs_twice(self) -> None:
-        """No task runs on two workers that are up."""
-        running = [task for worker in self.everyone if worker.is_alive for task in worker.runs]
+        """No task runs on two live workers."""
+        running = [task for worker in self.all_workers if worker.is_alive for task in worker.runs]
         assert len(running) == len(set(running)), running
 
     @invariant()
-    def no_worker_is_over_its_largest_room(self) -> None:
-        """No worker runs more than it ever had room for."""
-        for worker in self.everyone:
+    def no_worker_exceeds_its_largest_capacity(self) -> None:
+        """No worker runs more than its largest capacity allows."""
+        for worker in self.all_workers:
             assert len(worker.runs) * TASK_CPU <= CPU, worker
 
     @invariant()
     def crashing_task_is_given_up(self) -> None:
-        """A task that crashes its workers takes down a bounded number of them."""
+        """A task that crashes its workers crashes a bounded number of them."""
         assert self.crashes <= MOST_CRASHES
 
     @invariant()
-    def complete_means_done(self) -> None:
+    def complete_jobs_have_only_done_steps(self) -> None:
         """A job is complete only when each of its tasks is done."""
         for job in self.partition.state.finished.values():
             if job.state == "complete":
