--- a/tests/instance/site.py
+++ b/tests/instance/site.py
@@ -1,4 +1,4 @@
-"""A small site: the users' platform as stand-ins, and processes of the product, in one loop."""
+"""A small site for tests: stand-ins of the users' platform and real processes in one loop."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 }
 STEP = {"count": 2, "cpu": 1000, "memMb": 100, "estimatedMs": 100}
 WAIT_S = 25.0
-"""Longest wait for a condition, in seconds; far beyond what any needs on a busy machine."""
+"""Longest wait for a condition, in seconds."""
 
 
 def work_of(spec: str) -> float | None:
-    """Tell how long a task takes by its spec: its last word is `lasts`, or milliseconds."""
-    how_long = spec.rsplit(" ", 1)[-1]
-    return None if how_long == "lasts" else float(how_long)
+    """Return a task's duration from its spec: the last word is milliseconds or `lasts`."""
+    duration = spec.rsplit(" ", 1)[-1]
+    return None if duration == "lasts" else float(duration)
 
 
 class Site:
-    """Stand-ins, processes, and a caller."""
+    """Stand-ins, processes and a caller."""
 
     def __init__(self, *, nursery: trio.Nursery) -> None:
         self.nursery = nursery
@@ -52,7 +52,7 @@
         self.http = httpcore.AsyncConnectionPool(retries=0)
 
     async def start(self, *, processes: int, machines: int = 2, spares: int = 0) -> None:
-        """Start everything, and wait until all processes are ready."""
+        """Start the stand-ins and processes, and wait until all processes are ready."""
         await self.platform.start(self.nursery)
         for number in range(machines):
             await self.platform.async_add_machine(f"m{number}", "portal")
@@ -65,7 +65,7 @@
     async def async_add_process(
         self, *, is_ready: bool = True, store_address: str = ""
     ) -> InstanceProcess:
-        """Start one more process, and wait until it is ready or has at least a configuration."""
+        """Start a process and wait until it has a configuration, and by default is ready."""
         settings = InstanceSettings(
             instance=f"edge-{len(self.processes)}",
             ip="127.0.0.1",
@@ -100,22 +100,22 @@
         process.links.close()
 
     def kill(self, process: InstanceProcess) -> None:
-        """End a process in the middle of whatever it does."""
+        """Kill a process without a shutdown."""
         self.scopes[self.processes.index(process)].cancel()
 
     def owner_of(self, service: str) -> InstanceProcess | None:
-        """Return the process that runs a service's jobs."""
+        """Return a process that owns a partition of a service."""
         for process, scope in zip(self.processes, self.scopes, strict=True):
             if scope.cancel_called:
                 continue
             for owner in process.owners.values():
-                shares = owner.directory.state.layout.partitions_of(service)
-                if owner.is_restored and owner.partition in shares and owner.may_order():
+                partitions = owner.directory.state.layout.partitions_of(service)
+                if owner.is_restored and owner.partition in partitions and owner.may_order():
                     return process
         return None
 
     async def async_find_owner(self, service: str) -> tuple[InstanceProcess, InstanceProcess]:
-        """Wait until a service's jobs have an owner; returns it, and another process."""
+        """Wait until a service has an owner; return its process and another one."""
         await self.async_wait(lambda: self.owner_of(service) is not None)
         owner = self.owner_of(service)
         assert owner is not None
@@ -124,7 +124,7 @@
     async def async_call(
         self, process: InstanceProcess, method: str, path: str, body: Any = None
     ) -> tuple[int, dict[str, Any]]:
-        """Call a process as a caller does; returns status and body."""
+        """Call a process as a caller does and return status and body."""
         response = await self.http.request(
             method,
             f"http://{process.callers.address}{path}",
@@ -136,13 +136,13 @@
     async def async_submit(
         self, process: InstanceProcess, job_id: str, spec: str, *steps: dict[str, Any]
     ) -> int:
-        """Hand a job in; returns the status."""
+        """Submit a job and return the status."""
         body = {"spec": spec, "steps": list(steps) or [STEP]}
         status, _ = await self.async_call(process, "POST", f"/q/{job_id}", body)
         return status
 
     async def async_state(self, process: InstanceProcess, job_id: str) -> str:
-        """Return a job's state, or the status of the refusal."""
+        """Return a job's state, or the status code of a refusal."""
         status, body = await self.async_call(process, "GET", f"/q/{job_id}")
         return str(body.get("state", status)) if status == 200 else str(status)
 
@@ -163,13 +163,13 @@
         await self.async_wait_for(async_check)
 
     async def async_wait_for(self, condition: Callable[[], Awaitable[bool]]) -> None:
-        """Wait until a condition holds that takes a call to find out."""
+        """Wait until an asynchronous condition holds."""
         with trio.fail_after(WAIT_S):
             while not await condition():
                 await trio.sleep(0.02)
 
     def starts(self, job_id: str) -> list[tuple[str, int]]:
-        """Return every start of a job's tasks that a worker carried out."""
+        """Return every start of a job's tasks that a worker executed."""
         return [
             start
             for worker in self.platform.everyone
@@ -180,7 +180,7 @@
 
 @asynccontextmanager
 async def open_site(**sizes: int) -> AsyncIterator[Site]:
-    """Run a site for the length of a block."""
+    """Run a site within a context."""
     async with trio.open_nursery() as nursery:
         site = Site(nursery=nursery)
         await site.start(**sizes)
--- a/tests/instance/test_end_to_end.py
+++ b/tests/instance/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""A job from its submission to its end, through real processes and the stand-ins."""
+"""Jobs from submission to end, with real processes and the stand-ins."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     trio.run(async_test)
 
 
-def test_submission_that_is_repeated_elsewhere_remains_one_job() -> None:
+def test_submission_repeated_at_another_process_remains_one_job() -> None:
     async def async_test() -> None:
         async with open_site(processes=2) as site:
             for process in [*site.processes, *site.processes]:
@@ -62,7 +62,7 @@
     trio.run(async_test)
 
 
-def test_unknown_things_are_refused_by_name() -> None:
+def test_unknown_jobs_and_queues_and_invalid_jobs_are_refused() -> None:
     async def async_test() -> None:
         async with open_site(processes=1) as site:
             process = site.processes[0]
@@ -77,11 +77,10 @@
     trio.run(async_test)
 
 
-def test_owner_killed_in_the_middle_of_a_job_doubles_and_loses_nothing() -> None:
-    """The process that owns a job is killed while its tasks run.
+def test_owner_killed_during_a_job_neither_repeats_nor_loses_tasks() -> None:
+    """Guards against repeated or lost tasks when the owner's process is killed.
 
-    Another becomes the owner once the membership has run out, finds the tasks at their workers
-    under the leases that outlast the change, and starts only what never ran.
+    The tasks keep running under their leases until the next owner finds them.
     """
 
     async def async_test() -> None:
@@ -96,7 +95,7 @@
     trio.run(async_test)
 
 
-def test_lost_answers_of_the_store_double_nothing() -> None:
+def test_lost_store_answers_start_no_task_twice() -> None:
     async def async_test() -> None:
         async with open_site(processes=2) as site:
             await site.async_wait(lambda: site.owner_of("portal") is not None)
@@ -109,8 +108,8 @@
     trio.run(async_test)
 
 
-def test_start_that_is_carried_out_late_does_not_run_beside_another() -> None:
-    """A worker doesn't answer a start, and carries it out after the next attempt has begun."""
+def test_start_executed_late_does_not_run_beside_a_later_attempt() -> None:
+    """Guards against a second run when a worker executes an unanswered start late."""
 
     async def async_test() -> None:
         async with open_site(processes=1) as site:
@@ -122,14 +121,14 @@
             await site.async_wait_state(process, JOB, "complete")
             await trio.sleep(0.6)
             ends = [row for worker in site.platform.everyone for row in worker.ended]
-            done = [worker.numbers for worker in site.platform.everyone]
+            end_counts = [worker.numbers for worker in site.platform.everyone]
             assert len(site.starts(JOB)) == 1
-            assert sum(done) == 1 and len(ends) <= 1
+            assert sum(end_counts) == 1 and len(ends) <= 1
 
     trio.run(async_test)
 
 
-def test_store_that_refuses_is_told_as_not_accepted_with_when_to_come_back() -> None:
+def test_submission_is_not_accepted_while_the_store_refuses() -> None:
     async def async_test() -> None:
         async with open_site(processes=1) as site:
             process = site.processes[0]
@@ -145,12 +144,12 @@
     trio.run(async_test)
 
 
-def test_wave_maintains_every_machine_and_ends_no_task_that_is_not_moved() -> None:
+def test_wave_maintains_every_machine_and_moves_every_task() -> None:
     async def async_test() -> None:
         async with open_site(processes=2, machines=3) as site:
             process = site.processes[0]
-            lasting = STEP | {"longRunning": True, "maxUnavailable": 1}
-            await site.async_submit(process, JOB, "lasts", lasting)
+            long_running = STEP | {"longRunning": True, "maxUnavailable": 1}
+            await site.async_submit(process, JOB, "lasts", long_running)
             await site.async_wait(lambda: len(site.starts(JOB)) == 2)
             site.platform.demand_wave(1, ["m0", "m1", "m2"], max_down=1)
             await site.async_wait(lambda: site.platform.wave_state(1) == "complete")
@@ -162,12 +161,12 @@
     trio.run(async_test)
 
 
-def test_pool_that_is_short_gets_a_machine_of_the_standby_pool() -> None:
+def test_overloaded_pool_gets_a_machine_from_the_standby_pool() -> None:
     async def async_test() -> None:
         async with open_site(processes=1, machines=2, spares=2) as site:
             process = site.processes[0]
-            wide = STEP | {"count": 40, "cpu": 2000}
-            await site.async_submit(process, JOB, "work 800", wide)
+            large_step = STEP | {"count": 40, "cpu": 2000}
+            await site.async_submit(process, JOB, "work 800", large_step)
             await site.async_wait(
                 lambda: any(
                     machine.pool == "portal"
@@ -202,21 +201,17 @@
     trio.run(async_test)
 
 
-def test_lost_listing_hides_the_ends_of_a_worker_for_a_second_at_most() -> None:
-    """Of the calls to workers some get no answer, and one of them is the listing that waits.
-
-    The worker goes on, its task ends, and nobody hears of it until the listing is given up. With a
-    wait of two seconds and a margin of one that took 3.2 s, and the room counted as taken.
-    """
+def test_lost_listing_delays_the_ends_of_a_worker_by_a_second_at_most() -> None:
+    """Guards against capacity that stays reserved until a lost listing call times out."""
 
     async def async_test() -> None:
         async with open_site(processes=1, machines=1) as site:
             process = site.processes[0]
             site.platform.faults.lose_listings = 1
-            began_s = trio.current_time()
+            start_s = trio.current_time()
             await site.async_submit(process, JOB, "work 100")
             await site.async_wait_state(process, JOB, "complete")
             assert site.platform.faults.lose_listings == 0
-            assert trio.current_time() - began_s < 2.2
+            assert trio.current_time() - start_s < 2.2
 
     trio.run(async_test)
--- a/tests/instance/test_service_partitions.py
+++ b/tests/instance/test_service_partitions.py
@@ -1,4 +1,4 @@
-"""A large service has several owners, and every process knows which."""
+"""Partitions of services, of which a large one has several, and the layout that names them."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 
 @pytest.fixture(autouse=True)
-def _two_machines_a_share(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Let four machines be a large pool."""
+def _two_machines_per_partition(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+    """Give a pool of four machines two partitions."""
     monkeypatch.setattr(partitions, "WORKERS_A_SHARE", 2)
     yield
 
 
-def is_laid_out(known: DirectoryState, service: str) -> bool:
-    """Say whether a process knows the partitions of a service."""
-    return service in known.layout.shares
+def is_in_layout(directory_state: DirectoryState, service: str) -> bool:
+    """Return whether a process knows the partitions of a service."""
+    return service in directory_state.layout.shares
 
 
-def is_keeping(process: InstanceProcess) -> bool:
-    """Say whether a process owns the fleet, and has planned since it has seen its machines."""
+def is_planning(process: InstanceProcess) -> bool:
+    """Return whether a process owns the fleet and has planned since it listed its machines."""
     if process.keeper is None:
         return False
     state = process.keeper.state
@@ -44,14 +44,14 @@
 
 
 async def async_submit_all(site: Site) -> None:
-    """Hand all jobs in, to one process after the other."""
+    """Submit all jobs, alternating between the processes."""
     for number, job_id in enumerate(JOBS):
         process = site.processes[number % len(site.processes)]
         assert await site.async_submit(process, job_id, "work 50") == 200
 
 
 def restored_owners(site: Site) -> dict[int, PartitionOwner]:
-    """Return the owners that have read their partitions, by partition."""
+    """Return the owners that have restored their partitions, by partition."""
     return {
         partition: owner
         for process in site.processes
@@ -60,29 +60,29 @@
     }
 
 
-def test_jobs_of_a_large_service_run_with_all_of_its_owners() -> None:
-    """One queue's jobs go to two partitions, each with workers of its own."""
+def test_jobs_of_a_large_service_run_on_all_of_its_owners() -> None:
+    """Guards against a partition of a large service that gets no jobs."""
 
     async def async_test() -> None:
         async with open_site(processes=2, machines=4) as site:
             await async_submit_all(site)
             for job_id in JOBS:
                 await site.async_wait_state(site.processes[0], job_id, "complete")
-            # The second process has just come, and partitions may still be on their way to it.
-            shares = site.processes[0].directory.state.layout.partitions_of("portal")
-            await site.async_wait(lambda: set(restored_owners(site)) >= set(shares))
+            # Partitions may still be moving to the second process, which has just joined.
+            portal_partitions = site.processes[0].directory.state.layout.partitions_of("portal")
+            await site.async_wait(lambda: set(restored_owners(site)) >= set(portal_partitions))
             owners = restored_owners(site).values()
             ran = {owner.partition: owner.state.finished.keys() for owner in owners}
-            assert len(shares) == 2
-            assert all(ran[partition] for partition in shares)
+            assert len(portal_partitions) == 2
+            assert all(ran[partition] for partition in portal_partitions)
             assert sum(len(jobs) for jobs in ran.values()) == len(JOBS)
             assert all(len(site.starts(job_id)) == 2 for job_id in JOBS)
 
     trio.run(async_test)
 
 
-def test_queues_length_counts_all_of_its_owners() -> None:
-    """No machine has room: whoever asks hears of the jobs of both partitions."""
+def test_queue_length_includes_all_owners() -> None:
+    """Guards against a queue length that leaves out the jobs of another partition."""
 
     async def async_test() -> None:
         async with open_site(processes=2, machines=4) as site:
@@ -99,12 +99,8 @@
     trio.run(async_test)
 
 
-def test_process_that_starts_while_the_layout_cannot_be_read_asks_others() -> None:
-    """A part of the store is down, the fleet's partition with it, and an instance is replaced.
-
-    Without the layout it would refuse every job for as long as the outage lasts, though the
-    partitions of the jobs work.
-    """
+def test_process_that_starts_while_the_layout_cannot_be_read_asks_its_peers() -> None:
+    """Guards against refusing all jobs while only the fleet's partition can't be read."""
 
     async def async_test() -> None:
         async with open_site(processes=1, machines=4) as site:
@@ -118,27 +114,23 @@
     trio.run(async_test)
 
 
-def test_service_that_is_new_is_laid_out_and_others_stay() -> None:
-    """An operator adds a service; jobs of the older one must not change their owners."""
+def test_new_service_gets_partitions_and_others_keep_theirs() -> None:
+    """Guards against jobs that change their owners when an operator adds a service."""
 
     async def async_test() -> None:
         async with open_site(processes=2, machines=4) as site:
             before = site.processes[0].directory.state.layout.shares["portal"]
             site.platform.configure(2, [QUEUE], ["portal", "desk", "spare"])
             for process in site.processes:
-                known = process.directory.state
-                await site.async_wait(partial(is_laid_out, known, "desk"))
-                assert known.layout.shares["portal"] == before
+                directory_state = process.directory.state
+                await site.async_wait(partial(is_in_layout, directory_state, "desk"))
+                assert directory_state.layout.shares["portal"] == before
 
     trio.run(async_test)
 
 
-def test_all_processes_are_killed_and_the_next_ones_find_the_same_layout() -> None:
-    """Every instance loses its process in the middle of jobs; others start at other addresses.
-
-    Were the layout made anew, by other machines or in another order, jobs would be asked for at
-    owners that don't know them, and run twice.
-    """
+def test_layout_survives_the_loss_of_all_processes() -> None:
+    """Guards against a new layout, by which jobs would run twice under other owners."""
 
     async def async_test() -> None:
         async with open_site(processes=2, machines=4, spares=1) as site:
@@ -158,11 +150,8 @@
     trio.run(async_test)
 
 
-def test_layout_that_cannot_be_read_is_never_replaced() -> None:
-    """An older version of the program meets the layout of a newer one.
-
-    A layout of its own would send jobs to owners that don't know them. It refuses jobs instead.
-    """
+def test_unreadable_layout_is_never_replaced() -> None:
+    """Guards against an older version that replaces the layout of a newer one."""
 
     async def async_test() -> None:
         async with open_site(processes=1, machines=2) as site:
@@ -173,7 +162,7 @@
             site.platform.log.put(WORK_TOPIC, LAYOUT_KEY, record, partition=keeper.partition)
             site.kill(first)
             second = await site.async_add_process(is_ready=False)
-            await site.async_wait(lambda: is_keeping(second))
+            await site.async_wait(lambda: is_planning(second))
             assert await site.async_submit(second, JOBS[0], "work 10") == 503
             stored = site.platform.log.newest(WORK_TOPIC, keeper.partition)[LAYOUT_KEY][1]
             assert stored == record
@@ -181,11 +170,10 @@
     trio.run(async_test)
 
 
-def test_process_follows_no_workers_for_a_partition_that_no_service_has() -> None:
-    """A store has more partitions than the services need, and two processes are dealt all of them.
+def test_process_follows_no_workers_for_an_unused_partition() -> None:
+    """Guards against reading all worker entries in processes whose partitions have no jobs.
 
-    Only whoever owns one in which jobs can be reads what hundreds of workers write. A service that
-    is laid out later is owned at once.
+    A service that is added later is owned at once.
     """
 
     async def async_test() -> None:
--- a/tests/instance/test_shrinking_capacity.py
+++ b/tests/instance/test_shrinking_capacity.py
@@ -1,7 +1,6 @@
-"""Workers' rooms shrink and grow under load, in real processes and the stand-ins.
+"""Workers whose capacity changes under load, with real processes.
 
-The stand-in's workers start whatever they are told to, and note each start that brings them over
-their room. One that has shrunk counts a second later.
+The stand-in's workers accept every start and record those that exceed their capacity.
 """
 
 from __future__ import annotations
@@ -15,14 +14,14 @@
 JOB = "00000000000000a1"
 
 
-def shown_worker(site: Site) -> Worker:
-    """Return what its owner believes of the only worker."""
+def owner_view_of_worker(site: Site) -> Worker:
+    """Return the owner's view of the only worker."""
     (owner,) = (owner for owner in site.processes[0].owners.values() if owner.state.workers)
     (worker,) = owner.state.workers.values()
     return worker
 
 
-def test_no_start_brings_a_worker_over_a_room_that_has_shrunk() -> None:
+def test_no_start_exceeds_a_shrunken_capacity() -> None:
     async def async_test() -> None:
         async with open_site(processes=1, machines=2) as site:
             process = site.processes[0]
@@ -40,8 +39,8 @@
     trio.run(async_test)
 
 
-def test_nothing_starts_while_a_worker_cannot_tell_its_room() -> None:
-    """A worker can't reach the store, and shrinks; its owner reads the entry from before."""
+def test_nothing_starts_while_a_worker_cannot_report_its_capacity() -> None:
+    """Guards against overloading a worker that shrinks while it can't update its entry."""
 
     async def async_test() -> None:
         async with open_site(processes=1, machines=1) as site:
@@ -49,14 +48,14 @@
             await site.async_wait(lambda: site.owner_of("portal") is process)
             await site.async_wait(lambda: any(o.state.workers for o in process.owners.values()))
             site.platform.faults.entries_silent = True
-            (real,) = site.platform.everyone
-            real.resize(1000)
-            await site.async_wait(lambda: shown_worker(site).is_outdated)
+            (worker,) = site.platform.everyone
+            worker.resize(1000)
+            await site.async_wait(lambda: owner_view_of_worker(site).is_outdated)
             assert await site.async_submit(process, JOB, "work 100") == 200
             await trio.sleep(0.5)
             assert not site.starts(JOB)
             site.platform.faults.entries_silent = False
             await site.async_wait_state(process, JOB, "complete")
-            assert not real.overfilled
+            assert not worker.overfilled
 
     trio.run(async_test)
--- a/tests/instance/test_starts_after_cancel.py
+++ b/tests/instance/test_starts_after_cancel.py
@@ -1,4 +1,4 @@
-"""Tasks that a worker starts after their job was canceled, through real processes."""
+"""Tasks that a worker starts after their job was canceled, with real processes."""
 
 from __future__ import annotations
 
@@ -9,63 +9,61 @@
 from .site import STEP, Site, open_site
 
 JOB = "00000000000000c1"
-LATE_S = 1.5
-GONE_S = 3.0
-"""How long a task of a canceled job may run on after a late start, in seconds."""
+START_DELAY_S = 1.5
+MAX_RUN_S = 3.0
+"""Longest run of a canceled job's task after a late start, in seconds."""
 
 
-async def async_wait_gone(site: Site) -> None:
-    """Wait until the late start was due, and nothing of the job has run since for a while."""
+async def async_wait_stopped(site: Site) -> None:
+    """Wait past the late start and check that no task of the job still runs."""
     began_s = time.monotonic()
     last_run_s = began_s
-    while time.monotonic() - began_s < LATE_S + GONE_S + 0.5:
+    while time.monotonic() - began_s < START_DELAY_S + MAX_RUN_S + 0.5:
         if any(worker.runs for worker in site.platform.everyone):
             last_run_s = time.monotonic()
         await trio.sleep(0.02)
-    assert time.monotonic() - last_run_s > 0.4, "the task runs on"
+    assert time.monotonic() - last_run_s > 0.4, "the task still runs"
 
 
-def test_task_that_is_started_after_the_cancel_does_not_run_on() -> None:
-    """A worker doesn't answer a start; the job is canceled; then the worker carries it out.
+def test_task_started_after_the_cancel_is_stopped() -> None:
+    """Guards against a run that goes on when a worker executes a start after the cancel.
 
-    The caller has been told that the job is canceled. The stop that the cancel sent makes the
-    worker refuse the start, or a listing shows the run and it is stopped.
+    The worker refuses the start after a stop, or a listing shows the run and it is stopped.
     """
 
     async def async_test() -> None:
         async with open_site(processes=2) as site:
             await site.async_wait(lambda: site.owner_of("portal") is not None)
             faults = site.platform.faults
-            faults.late_start_s, faults.lose_starts = LATE_S, 1
+            faults.late_start_s, faults.lose_starts = START_DELAY_S, 1
             first, second = site.processes
-            lasting = STEP | {"count": 1, "longRunning": True}
-            assert await site.async_submit(first, JOB, "lasts", lasting) == 200
+            step = STEP | {"count": 1, "longRunning": True}
+            assert await site.async_submit(first, JOB, "lasts", step) == 200
             await site.async_wait(lambda: faults.lose_starts == 0)
             status, _ = await site.async_call(second, "DELETE", f"/q/{JOB}")
             assert status == 200
-            await async_wait_gone(site)
+            await async_wait_stopped(site)
 
     trio.run(async_test)
 
 
-def test_task_whose_starter_is_gone_does_not_run_on_after_the_cancel() -> None:
-    """The owner sends a start that isn't answered, and is killed; the job is canceled elsewhere.
+def test_task_started_after_the_cancel_is_stopped_by_the_next_owner() -> None:
+    """Guards against a run that goes on when the owner that started it was killed.
 
-    The worker carries the start out under the lease that it came with. The next owner reads that
-    the attempt was stored, and stops whatever of it a worker lists.
+    The next owner reads the stored attempt and stops any run of it that a worker lists.
     """
 
     async def async_test() -> None:
         async with open_site(processes=2) as site:
             owner, other = await site.async_find_owner("portal")
             faults = site.platform.faults
-            faults.late_start_s, faults.lose_starts = LATE_S, 1
-            lasting = STEP | {"count": 1, "longRunning": True}
-            assert await site.async_submit(other, JOB, "lasts", lasting) == 200
+            faults.late_start_s, faults.lose_starts = START_DELAY_S, 1
+            step = STEP | {"count": 1, "longRunning": True}
+            assert await site.async_submit(other, JOB, "lasts", step) == 200
             await site.async_wait(lambda: faults.lose_starts == 0)
             site.kill(owner)
             status, _ = await site.async_call(other, "DELETE", f"/q/{JOB}")
             assert status == 200
-            await async_wait_gone(site)
+            await async_wait_stopped(site)
 
     trio.run(async_test)
--- a/tests/instance/test_status.py
+++ b/tests/instance/test_status.py
@@ -1,4 +1,4 @@
-"""What the platform's probe is told."""
+"""Readiness as the platform's probe sees it."""
 
 from __future__ import annotations
 
@@ -27,16 +27,13 @@
     )
 
 
-def test_process_without_the_store_takes_no_new_callers() -> None:
-    """A zone is cut off from the store; its processes can accept nothing.
-
-    Ready as before, they would get a third of all callers, and refuse them.
-    """
+def test_process_without_the_store_is_not_ready() -> None:
+    """Guards against routing callers to a zone that is cut off from the store."""
     assert make_status(store_heard_ms=monotonic_ms()).is_ready()
     assert not make_status(store_heard_ms=monotonic_ms() - STORE_SILENT_MS).is_ready()
 
 
-def test_process_that_stops_takes_no_new_callers() -> None:
+def test_stopping_process_is_not_ready() -> None:
     status = make_status(store_heard_ms=monotonic_ms())
     status.is_stopping = True
     assert not status.is_ready()
--- a/tests/instance/test_store_faults_of_one_process.py
+++ b/tests/instance/test_store_faults_of_one_process.py
@@ -1,4 +1,4 @@
-"""A process that the store turns away while it serves the others, through real processes."""
+"""Store faults that affect one process only, with real processes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def async_add_side_process(site: Site) -> InstanceProcess:
-    """Add a process with a store address of its own, and wait until it knows its peers."""
+    """Add a process with its own store address and wait until it knows its peers."""
     address = site.platform.side_store.address
     process = await site.async_add_process(store_address=address)
 
@@ -26,11 +26,10 @@
 
 
 @pytest.mark.parametrize("fault", ["side_refuses", "side_silent"])
-def test_process_that_is_turned_away_takes_jobs_and_keeps_its_partitions(fault: str) -> None:
-    """The store refuses one process, or doesn't answer it, for longer than a membership lasts.
+def test_process_refused_by_the_store_accepts_jobs_and_keeps_its_partitions(fault: str) -> None:
+    """Guards against losing jobs and ownership on a process that can't use the store.
 
-    A caller of that process hands a job in: it is stored through a peer, run, and shown. What the
-    process owns stays its own, since its renewals arrive too; it goes on taking callers.
+    Its jobs and its membership renewals are stored through a peer.
     """
 
     async def async_test() -> None:
