--- a/heatherkeel/dispatch/orders.py
+++ b/heatherkeel/dispatch/orders.py
@@ -14,7 +14,7 @@
 from .models import LossReason, RunState
 from .registry import handles
 from .state import PartitionState
-from .workers import fall_silent
+from .workers import mark_unresponsive
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -64,7 +64,7 @@
         return
     if worker is not None and event.error.failure in _NOT_REACHED:
         # The emptiest worker of a pool would be tried again at once, and again.
-        fall_silent(state, worker, effects, detail=event.error.detail)
+        mark_unresponsive(state, worker, effects, detail=event.error.detail)
     if worker is not None and _is_refused_for_some_time(event.error):
         # Its room has shrunk, and its entry doesn't say so yet, or it can't read the order. Still
         # the emptiest of its pool, it would be sent the same start every few milliseconds.
