--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -66,7 +66,7 @@
     assert "w0" not in partition.state.workers
     del partition.entries["w0"]
     partition.list_workers()
-    assert not partition.state.gone_lives
+    assert not partition.state.ended_incarnations
 
 
 def test_run_that_a_later_listing_lacks_starts_again() -> None:
