--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -134,7 +134,7 @@
     assert partition.state.workers["w0"].aside_until_ms > partition.now_ms
     assert not partition.state.workers["w0"].runs
     partition.tick(GREY_PAUSE_MS)
-    assert partition.state.workers["w0"].takes_work(partition.now_ms)
+    assert partition.state.workers["w0"].accepts_work(partition.now_ms)
 
 
 def test_draining_worker_gets_no_new_work() -> None:
@@ -255,7 +255,7 @@
     partition.now_ms += STANDING_MS
     effects = partition.answer("w0", percent=30.0)
     assert set(stopped(effects)) == {first, second}
-    assert not partition.state.workers["w0"].takes_work(partition.now_ms)
+    assert not partition.state.workers["w0"].accepts_work(partition.now_ms)
 
 
 def test_worker_with_one_task_that_moves_is_kept() -> None:
@@ -284,9 +284,9 @@
     partition.state.workers["w1"].is_leaving = False
     (again,) = started(partition.start_answered(run, Failure.REFUSED))
     assert again.worker_id == "w1"
-    assert not worker.takes_work(partition.now_ms)
+    assert not worker.accepts_work(partition.now_ms)
     partition.answer("w0")
-    assert worker.takes_work(partition.now_ms)
+    assert worker.accepts_work(partition.now_ms)
 
 
 def test_start_that_another_life_answered_proves_the_worker_gone() -> None:
