--- a/heatherkeel/dispatch/load.py
+++ b/heatherkeel/dispatch/load.py
@@ -74,7 +74,7 @@
     """Say whether a worker is no room for jobs, though its machine is up for all others."""
     if not worker.is_listed or worker.is_leaving:
         return False
-    is_unresponsive = worker.is_unresponsive and now_ms - worker.silent_since_ms >= UNHEARD_MS
+    is_unresponsive = worker.is_unresponsive and now_ms - worker.unresponsive_since_ms >= UNHEARD_MS
     return is_unresponsive or worker.aside_until_ms > now_ms
 
 
