--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -131,7 +131,7 @@
     partition = Partition(workers=3, max_failures=9)
     for number in range(3):
         partition.end(start_on(partition, "w0", f"{number:016x}"), "failed")
-    assert partition.state.workers["w0"].aside_until_ms > partition.now_ms
+    assert partition.state.workers["w0"].quarantined_until_ms > partition.now_ms
     assert not partition.state.workers["w0"].runs
     partition.tick(GREY_PAUSE_MS)
     assert partition.state.workers["w0"].accepts_work(partition.now_ms)
