--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -216,7 +216,7 @@
     worker = partition.state.workers["w0"]
     assert not worker.runs
     assert not worker.is_empty()
-    worker.told = worker.seen
+    worker.last_acknowledged_end = worker.last_processed_end
     assert worker.is_empty()
 
 
