--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -96,7 +96,7 @@
 
 
 @handles(LivesListed)
-def take_lives(state: PartitionState, event: LivesListed, effects: Effects) -> None:
+def handle_incarnations_listed(state: PartitionState, event: LivesListed, effects: Effects) -> None:
     """End unresponsive workers that the list of machines no longer names.
 
     Their machines have restarted or are down; a worker that is only unreachable is still named.
