--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -12,7 +12,7 @@
 """
 SLOWEST_CLOCK: Final = 1.02
 """Factor by which a worker's clock may be slower than the local one, documented by the platform."""
-LAPSE_MARGIN_MS: Final = 500
+LEASE_EXPIRY_MARGIN_MS: Final = 500
 """Added to the end of a lease before its tasks count as ended, in milliseconds: killing a task may
 take as long as stopping it."""
 LIST_WAIT_MS: Final = 1000
@@ -49,11 +49,11 @@
 processor."""
 MAX_MISFITS: Final = 40
 """Steps in a row that don't fit before a placement pass ends, which bounds the work per event."""
-GREY_FAILURES: Final = 3
+QUARANTINE_FAILURES: Final = 3
 """Failed ends in a row, of different jobs, after which a worker is quarantined."""
-GREY_PAUSE_MS: Final = 5000
+QUARANTINE_MS: Final = 5000
 """How long a worker stays quarantined, in milliseconds."""
-MAX_SET_ASIDE: Final = 0.34
+MAX_QUARANTINED_FRACTION: Final = 0.34
 """Fraction of a pool's workers that may be quarantined at once; beyond it the jobs are the likelier
 cause."""
 MAX_SOLE_CRASHES: Final = 2
--- a/heatherkeel/dispatch/ends.py
+++ b/heatherkeel/dispatch/ends.py
@@ -7,14 +7,14 @@
 from heatherkeel.platform.workers import EndedTask
 
 from .building import open_dependents
-from .const import GREY_FAILURES
+from .const import QUARANTINE_FAILURES
 from .events import CountGivenUp, CountLoss, Effects, SaveJob
 from .jobs import end_job, save_ended_job, stop_run
 from .models import Job, JobState, LossReason, Run, Task, Worker
-from .pools import enqueue_step, find_pool, forget_run
+from .pools import enqueue_step, find_pool, remove_run
 from .standing import quarantine_worker
 from .state import PartitionState
-from .suspicion import clear_task, count_crash
+from .suspicion import clear_suspicion, count_crash
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -34,12 +34,12 @@
     return steps[step].tasks[index]
 
 
-def take_end(state: PartitionState, worker: Worker, ended: EndedTask, effects: Effects) -> None:
+def process_end(state: PartitionState, worker: Worker, ended: EndedTask, effects: Effects) -> None:
     """Process one end that a worker has listed."""
     run = worker.runs.get((ended.task, ended.attempt))
     task = run.task if run is not None else find_task(state, ended.task)
     if run is not None:
-        forget_run(state, run)
+        remove_run(state, run)
         worker.full_until_ms = 0
         effects.touch(run.task.step.job.service)
     if task is None:
@@ -80,7 +80,7 @@
         if member.is_done:
             continue
         member.is_done = True
-        clear_task(member)
+        clear_suspicion(member)
         step.done += 1
         # An earlier run that was presumed lost may have ended as done, so stop the later one.
         for run in list(member.runs):
@@ -136,7 +136,7 @@
     """
     if job.id not in worker.failed_jobs:
         worker.failed_jobs.append(job.id)
-    if len(worker.failed_jobs) < GREY_FAILURES:
+    if len(worker.failed_jobs) < QUARANTINE_FAILURES:
         return
     if quarantine_worker(state, worker, why="it fails what it starts"):
         worker.failed_jobs.clear()
@@ -156,7 +156,7 @@
     """
     _log_loss(state, run, reason)
     effects.add(CountLoss(reason=reason))
-    forget_run(state, run)
+    remove_run(state, run)
     task = run.task
     if run.saved:
         task.saved = run.saved
@@ -182,7 +182,7 @@
     worker = state.workers.get(run.worker_id)
     listed_for_ms = None
     if worker is not None and run.listed_since_ms:
-        listed_for_ms = worker.clock_heard_ms - run.listed_since_ms
+        listed_for_ms = worker.clock_received_ms - run.listed_since_ms
     _LOGGER.info(
         "run lost",
         extra={
--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -12,7 +12,7 @@
 from .registry import handles
 from .rooms import cancel_planned_start
 from .state import PartitionState
-from .suspicion import find_sole_job
+from .suspicion import find_sole_suspect
 from .telling import log_restart, log_worker_event
 
 
@@ -36,8 +36,8 @@
         entry=entry,
         born=born,
         former=worker.former | ({worker.born} - {0, born}),
-        unheard_until_ms=state.now_ms + round(state.longest_lease_ms * SLOWEST_CLOCK),
-        sole_suspect=find_sole_job(worker),
+        earlier_leases_until_ms=state.now_ms + round(state.longest_lease_ms * SLOWEST_CLOCK),
+        sole_suspect=find_sole_suspect(worker),
         is_leaving=worker.is_leaving,
         is_due=worker.is_due,
         is_outdated=worker.is_outdated,
@@ -90,26 +90,28 @@
     state: PartitionState, worker: Worker, effects: Effects, *, reason: LossReason
 ) -> None:
     """Drop an incarnation that has ended, and ignore its entry while it is still read."""
-    earlier = state.gone_lives.get(worker.id, frozenset())
-    state.gone_lives[worker.id] = earlier | worker.former | {worker.born}
+    earlier = state.ended_incarnations.get(worker.id, frozenset())
+    state.ended_incarnations[worker.id] = earlier | worker.former | {worker.born}
     drop_worker(state, worker, effects, reason=reason)
 
 
 @handles(IncarnationsListed)
-def take_lives(state: PartitionState, event: IncarnationsListed, effects: Effects) -> None:
+def handle_incarnations_listed(
+    state: PartitionState, event: IncarnationsListed, effects: Effects
+) -> None:
     """End unresponsive workers that the list of machines no longer names.
 
     Their machines have restarted or are down; a worker that is only unreachable is still named.
     """
     for worker in list(state.workers.values()):
-        is_long = state.now_ms - worker.silent_since_ms >= SILENT_MS
+        is_long = state.now_ms - worker.unresponsive_since_ms >= SILENT_MS
         if worker.is_unresponsive and is_long and worker.id not in event.worker_ids:
             end_incarnation(state, worker, effects, reason=LossReason.OTHER_LIFE)
 
 
 def drop_if_expired(state: PartitionState, worker: Worker, effects: Effects) -> None:
     """Lose the runs of an unreachable worker whose lease has expired; drop it if unlisted."""
-    if not worker.has_lapsed(state.now_ms):
+    if not worker.is_lease_expired(state.now_ms):
         return
     _lose_runs(state, worker, effects, reason=LossReason.LEASE_LAPSED)
     if not worker.is_listed:
@@ -130,7 +132,7 @@
     state: PartitionState, worker: Worker, effects: Effects, *, reason: LossReason
 ) -> None:
     """Lose all runs of a worker."""
-    sole_suspect = find_sole_job(worker)
+    sole_suspect = find_sole_suspect(worker)
     for run in list(worker.runs.values()):
         is_sole = run.task.step.job is sole_suspect
         lose_run(state, run, effects, reason=reason, is_sole=is_sole)
--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -8,7 +8,7 @@
 from heatherkeel.platform.callers import JobRequest, StepRequest
 from heatherkeel.platform.operator import WorkerEntry
 
-from .const import LAPSE_MARGIN_MS, MAX_DOUBTFUL_RUNS, MAX_LISTING_AGE_MS, SLOWEST_CLOCK
+from .const import LEASE_EXPIRY_MARGIN_MS, MAX_DOUBTFUL_RUNS, MAX_LISTING_AGE_MS, SLOWEST_CLOCK
 
 
 class JobState(StrEnum):
@@ -239,24 +239,24 @@
     used_gpu: int = 0
     clock_ms: int | None = None
     """The worker's last reported clock; None before its first answer under this owner's token."""
-    clock_heard_ms: int = 0
+    clock_received_ms: int = 0
     """When that clock was received, on the local clock."""
     lease_until_ms: int = 0
     """Latest end of lease that was ever sent, on the worker's clock."""
-    unheard_until_ms: int = 0
+    earlier_leases_until_ms: int = 0
     """When all leases from earlier owners have expired; used until the worker's first answer."""
-    seen: int = 0
+    last_processed_end: int = 0
     """Highest number of an end that was processed."""
-    acknowledged: int = 0
+    last_stored_end: int = 0
     """Highest number of an end that is stored."""
-    told: int = 0
+    last_acknowledged_end: int = 0
     """Highest number of an end that was acknowledged to the worker."""
     suspects: dict[tuple[str, int], Run] = field(default_factory=dict)
     """Unproven runs of tasks that have lost a worker before."""
     is_listed: bool = True
     is_unresponsive: bool = False
     """The last call to it wasn't answered."""
-    silent_since_ms: int = 0
+    unresponsive_since_ms: int = 0
     is_leaving: bool = False
     """Its machine is about to be moved or maintained."""
     paced_ms: int = 0
@@ -267,15 +267,15 @@
     """Its machine is to be maintained later."""
     failed_jobs: list[str] = field(default_factory=list)
     """Jobs with failed tasks there since the last success."""
-    aside_until_ms: int = 0
+    quarantined_until_ms: int = 0
     full_until_ms: int = 0
     """Until when it gets no more work, after it refused a start for lack of capacity."""
 
-    def is_other_life(self, born: int) -> bool:
+    def is_other_incarnation(self, born: int) -> bool:
         """Return whether a start time belongs to another incarnation."""
         return bool(born and self.born and born != self.born)
 
-    def is_earlier_life(self, born: int) -> bool:
+    def is_earlier_incarnation(self, born: int) -> bool:
         """Return whether an entry with this start time is from an earlier incarnation.
 
         If the wall clock was set back, a later incarnation may have the smaller start time.
@@ -284,11 +284,11 @@
 
     def was_sent_before(self, run: Run) -> bool:
         """Return whether a run was sent to an earlier incarnation and isn't listed in this one."""
-        return self.is_other_life(run.born)
+        return self.is_other_incarnation(run.born)
 
     def has_entry(self) -> bool:
         """Return whether its entry is from this incarnation; another may differ in capacity."""
-        return not self.is_other_life(self.entry.born)
+        return not self.is_other_incarnation(self.entry.born)
 
     def is_ready(self) -> bool:
         """Return whether the worker has answered under this owner's token."""
@@ -299,7 +299,11 @@
 
         Nothing runs there, and all ends are stored and acknowledged.
         """
-        return not self.runs and self.is_ready() and self.told >= self.seen
+        return (
+            not self.runs
+            and self.is_ready()
+            and self.last_acknowledged_end >= self.last_processed_end
+        )
 
     def to_acknowledge(self, now_ms: int) -> int:
         """Return the highest end number that the next listing may acknowledge; 0 for none.
@@ -307,12 +311,14 @@
         A restarted worker reuses these numbers and would drop ends that were never read. So each
         number is acknowledged once, and only right after the worker has listed it.
         """
-        is_fresh = not self.is_unresponsive and now_ms - self.clock_heard_ms <= MAX_LISTING_AGE_MS
-        if not is_fresh or self.told >= self.acknowledged:
+        is_fresh = (
+            not self.is_unresponsive and now_ms - self.clock_received_ms <= MAX_LISTING_AGE_MS
+        )
+        if not is_fresh or self.last_acknowledged_end >= self.last_stored_end:
             return 0
-        return self.acknowledged
+        return self.last_stored_end
 
-    def takes_work(self, now_ms: int) -> bool:
+    def accepts_work(self, now_ms: int) -> bool:
         """Return whether tasks may be started there."""
         return (
             self.is_ready()
@@ -322,7 +328,7 @@
             and not self.is_leaving
             and not self.is_outdated
             and not self.entry.is_draining()
-            and now_ms >= max(self.aside_until_ms, self.full_until_ms)
+            and now_ms >= max(self.quarantined_until_ms, self.full_until_ms)
         )
 
     def is_overfull(self) -> bool:
@@ -371,15 +377,15 @@
 
     def clock_at(self, now_ms: int) -> int:
         """Return an estimate of the worker's clock."""
-        return (self.clock_ms or 0) + now_ms - self.clock_heard_ms
+        return (self.clock_ms or 0) + now_ms - self.clock_received_ms
 
-    def has_lapsed(self, now_ms: int) -> bool:
+    def is_lease_expired(self, now_ms: int) -> bool:
         """Return whether everything that ran there has ended because its lease has expired.
 
         The worker runs nothing beyond the latest end of lease that was sent. Its clock may be slow,
         so it may reach that end later than the local clock suggests.
         """
         if self.clock_ms is None:
-            return now_ms > self.unheard_until_ms
-        slowest_clock_ms = self.clock_ms + (now_ms - self.clock_heard_ms) / SLOWEST_CLOCK
-        return slowest_clock_ms > self.lease_until_ms + LAPSE_MARGIN_MS
+            return now_ms > self.earlier_leases_until_ms
+        slowest_clock_ms = self.clock_ms + (now_ms - self.clock_received_ms) / SLOWEST_CLOCK
+        return slowest_clock_ms > self.lease_until_ms + LEASE_EXPIRY_MARGIN_MS
--- a/heatherkeel/dispatch/standing.py
+++ b/heatherkeel/dispatch/standing.py
@@ -6,8 +6,8 @@
 
 from .const import (
     FEWEST_STANDING,
-    GREY_PAUSE_MS,
-    MAX_SET_ASIDE,
+    MAX_QUARANTINED_FRACTION,
+    QUARANTINE_MS,
     STANDING_MS,
 )
 from .events import Effects
@@ -41,17 +41,17 @@
     Returns whether the worker was quarantined.
     """
     pool = find_pool(state, worker.entry.service)
-    aside = sum(1 for other in pool.workers.values() if other.aside_until_ms > state.now_ms)
-    if aside + 1 > MAX_SET_ASIDE * len(pool.workers):
+    aside = sum(1 for other in pool.workers.values() if other.quarantined_until_ms > state.now_ms)
+    if aside + 1 > MAX_QUARANTINED_FRACTION * len(pool.workers):
         return False
-    worker.aside_until_ms = state.now_ms + GREY_PAUSE_MS
+    worker.quarantined_until_ms = state.now_ms + QUARANTINE_MS
     _LOGGER.warning(
         "worker quarantined",
         extra={
             "event": "worker_aside",
             "worker": worker.id,
             "why": why,
-            "for_ms": GREY_PAUSE_MS,
+            "for_ms": QUARANTINE_MS,
         },
     )
     return True
--- a/heatherkeel/dispatch/state.py
+++ b/heatherkeel/dispatch/state.py
@@ -24,7 +24,7 @@
     arrivals: deque[tuple[int, float]] = field(default_factory=deque)
     """Arrival time and requested core-milliseconds of each recent job."""
 
-    def take_arrival(self, job: Job, now_ms: int) -> None:
+    def record_arrival(self, job: Job, now_ms: int) -> None:
         """Record the arrival of a job; jobs with long-running tasks don't count."""
         steps = job.request.steps
         if any(step.lasts for step in steps):
@@ -55,18 +55,18 @@
     workers: dict[str, Worker] = field(default_factory=dict)
     queues: dict[str, Queue] = field(default_factory=dict)
     pools: dict[str, Pool] = field(default_factory=dict)
-    gone_lives: dict[str, frozenset[int]] = field(default_factory=dict)
+    ended_incarnations: dict[str, frozenset[int]] = field(default_factory=dict)
     """Start times of ended incarnations by worker, as long as the worker's ID has an entry."""
-    left_out: dict[str, int] = field(default_factory=dict)
+    ignored_entries: dict[str, int] = field(default_factory=dict)
     """Start time of the ended incarnation by worker, where its ignored entry was logged."""
     leaving_ms: int = 0
     """When the fleet's owner last named the workers that leave."""
     can_start: bool = True
     """Whether starts can be stored and sent now."""
 
-    def is_gone(self, worker_id: str, born: int) -> bool:
+    def has_incarnation_ended(self, worker_id: str, born: int) -> bool:
         """Return whether an incarnation has ended; a start time of 0 matches any."""
-        gone = self.gone_lives.get(worker_id)
+        gone = self.ended_incarnations.get(worker_id)
         return gone is not None and (not born or born in gone)
 
     def find_job(self, job_id: str) -> Job | None:
--- a/heatherkeel/dispatch/suspicion.py
+++ b/heatherkeel/dispatch/suspicion.py
@@ -34,7 +34,7 @@
 sign of a crash if the list of machines can't be read."""
 
 
-def find_sole_job(worker: Worker) -> Job | None:
+def find_sole_suspect(worker: Worker) -> Job | None:
     """Return the only job that may have crashed a worker, if there is just one.
 
     Every unproven run that was sent there is a suspect.
@@ -81,7 +81,7 @@
     return MAX_SOLE_CRASHES if is_sole else MAX_SUDDEN_CRASHES
 
 
-def clear_task(task: Task) -> None:
+def clear_suspicion(task: Task) -> None:
     """Clear a task of suspicion."""
     if not task.crashes:
         return
@@ -90,7 +90,7 @@
     job.crashes = max(other.crashes for step in job.steps() for other in step.tasks)
 
 
-def take_listed(worker: Worker, run: Run, now_ms: int, effects: Effects) -> None:
+def record_listed_run(worker: Worker, run: Run, now_ms: int, effects: Effects) -> None:
     """Record that a worker still lists a run, which after a while clears it of suspicion.
 
     A run without progress stays unproven, but no longer keeps other jobs off its worker.
@@ -102,11 +102,11 @@
         effects.touch(job.service)
     run.is_proven = run.percent > 0
     if run.is_proven and run.task.crashes:
-        clear_task(run.task)
+        clear_suspicion(run.task)
         effects.add(SaveJob(job_id=job.id))
 
 
-def list_choices(step: Step, workers: list[Worker]) -> list[list[Worker]]:
+def group_candidates(step: Step, workers: list[Worker]) -> list[list[Worker]]:
     """Return groups of candidate workers for a step, the preferred group first.
 
     A worker with a task suspected of several crashes is closed to other jobs, whose tasks would be
--- a/heatherkeel/dispatch/telling.py
+++ b/heatherkeel/dispatch/telling.py
@@ -23,8 +23,8 @@
             "born": later.born,
             "born_before": worker.born,
             "runs": len(worker.runs),
-            "seen": worker.seen,
-            "acknowledged": worker.acknowledged,
+            "seen": worker.last_processed_end,
+            "acknowledged": worker.last_stored_end,
         },
     )
 
@@ -38,9 +38,9 @@
 
 def log_ignored_entry(state: PartitionState, worker_id: str, entry: WorkerEntry) -> None:
     """Log, once per incarnation, that the entry of an ended incarnation is ignored."""
-    if state.left_out.get(worker_id) == entry.born:
+    if state.ignored_entries.get(worker_id) == entry.born:
         return
-    state.left_out[worker_id] = entry.born
+    state.ignored_entries[worker_id] = entry.born
     _LOGGER.info(
         "entry of an ended worker incarnation ignored",
         extra={"event": "worker_left_out", "worker": worker_id, "born": entry.born},
@@ -57,12 +57,12 @@
             "born": listing.born,
             "clock_ms": listing.clock_ms,
             "clock_before_ms": worker.clock_ms,
-            "silent_since_ms": worker.silent_since_ms if worker.is_unresponsive else None,
+            "silent_since_ms": worker.unresponsive_since_ms if worker.is_unresponsive else None,
             "running": len(listing.running),
             "known_runs": len(worker.runs),
             "last_end": listing.ended[-1].number if listing.ended else 0,
-            "seen": worker.seen,
-            "acknowledged": worker.acknowledged,
+            "seen": worker.last_processed_end,
+            "acknowledged": worker.last_stored_end,
         },
     )
 
@@ -78,6 +78,6 @@
             "worker": worker.id,
             "outcome": ended.outcome,
             "number": ended.number,
-            "seen": worker.seen,
+            "seen": worker.last_processed_end,
         },
     )
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -9,7 +9,7 @@
 from heatherkeel.platform.workers import Listing, RunningTask
 
 from .building import make_placeholder_task
-from .ends import find_task, lose_run, take_end
+from .ends import find_task, lose_run, process_end
 from .events import (
     AcknowledgeEnds,
     Effects,
@@ -29,20 +29,20 @@
 from .rooms import cancel_excess_starts
 from .standing import quarantine_if_stalled
 from .state import PartitionState
-from .suspicion import take_listed
+from .suspicion import record_listed_run
 from .telling import log_ignored_end, log_ignored_entry, log_worker_answered, log_worker_event
 
 _LOGGER = logging.getLogger(__name__)
 
 
 @handles(WorkersListed)
-def take_entries(state: PartitionState, event: WorkersListed, effects: Effects) -> None:
+def handle_workers_listed(state: PartitionState, event: WorkersListed, effects: Effects) -> None:
     """Update the workers from their entries; one without an entry may still run tasks."""
-    for known in (state.gone_lives, state.left_out):
+    for known in (state.ended_incarnations, state.ignored_entries):
         for worker_id in known.keys() - event.entries.keys():
             del known[worker_id]
     for worker_id, entry in event.entries.items():
-        if state.is_gone(worker_id, entry.born):
+        if state.has_incarnation_ended(worker_id, entry.born):
             log_ignored_entry(state, worker_id, entry)
             continue
         worker = state.workers.get(worker_id)
@@ -64,9 +64,9 @@
 ) -> None:
     """Update a known worker from its entry; a listing may show a new incarnation earlier."""
     worker.is_listed = True
-    if worker.is_earlier_life(entry.born):
+    if worker.is_earlier_incarnation(entry.born):
         return
-    if worker.is_other_life(entry.born) or entry.service != worker.entry.service:
+    if worker.is_other_incarnation(entry.born) or entry.service != worker.entry.service:
         worker = start_incarnation(state, worker, effects, entry=entry, born=entry.born)
     worker.entry = entry
     worker.born = worker.born or entry.born
@@ -74,7 +74,7 @@
 
 
 @handles(WorkerAnswered)
-def take_listing(state: PartitionState, event: WorkerAnswered, effects: Effects) -> None:
+def handle_worker_answered(state: PartitionState, event: WorkerAnswered, effects: Effects) -> None:
     """Update a worker from its listing of running and ended tasks."""
     worker = _find_incarnation(state, event, effects)
     if worker is None:
@@ -94,10 +94,10 @@
     born = event.listing.born
     if worker is None or born in worker.former:
         return None
-    if worker.is_other_life(born):
+    if worker.is_other_incarnation(born):
         return start_incarnation(state, worker, effects, entry=worker.entry, born=born)
     worker.born = worker.born or born
-    worker.told = max(worker.told, event.acknowledged)
+    worker.last_acknowledged_end = max(worker.last_acknowledged_end, event.acknowledged)
     return worker
 
 
@@ -114,22 +114,22 @@
     if not worker.is_ready():
         _limit_lease(state, worker, event.listing.clock_ms)
     worker.clock_ms = event.listing.clock_ms
-    worker.clock_heard_ms = event.now_ms
+    worker.clock_received_ms = event.now_ms
 
 
 def _process_ends(
     state: PartitionState, worker: Worker, listing: Listing, effects: Effects
 ) -> None:
     """Process the new ends of a listing; they are acknowledged once they are stored."""
-    ended_before = worker.seen
+    ended_before = worker.last_processed_end
     for ended in listing.ended:
-        if ended.number > worker.seen:
-            take_end(state, worker, ended, effects)
-            worker.seen = ended.number
+        if ended.number > worker.last_processed_end:
+            process_end(state, worker, ended, effects)
+            worker.last_processed_end = ended.number
         elif (ended.task, ended.attempt) in worker.runs:
             log_ignored_end(worker, ended)
-    if worker.seen > ended_before:
-        effects.add(AcknowledgeEnds(worker=worker, number=worker.seen))
+    if worker.last_processed_end > ended_before:
+        effects.add(AcknowledgeEnds(worker=worker, number=worker.last_processed_end))
 
 
 def _limit_lease(state: PartitionState, worker: Worker, clock_ms: int) -> None:
@@ -162,7 +162,7 @@
         else:
             run.born = worker.born
             _update_run(run, row, now_ms)
-            take_listed(worker, run, now_ms, effects)
+            record_listed_run(worker, run, now_ms, effects)
     for run in list(worker.runs.values()):
         # The last order was answered before this listing was requested, so a run that isn't listed
         # has ended unnoticed or was never started.
@@ -233,7 +233,7 @@
 
 
 @handles(WorkerFailed)
-def take_failure(state: PartitionState, event: WorkerFailed, effects: Effects) -> None:
+def handle_worker_failed(state: PartitionState, event: WorkerFailed, effects: Effects) -> None:
     """Handle a call without an answer, or an address that now belongs to another worker."""
     worker = state.workers.get(event.worker_id)
     if worker is None:
@@ -241,21 +241,23 @@
     if event.error.failure is Failure.OTHER_INSTANCE:
         end_incarnation(state, worker, effects, reason=LossReason.ADDRESS_TAKEN)
         return
-    fall_silent(state, worker, effects, detail=event.error.detail)
+    mark_unresponsive(state, worker, effects, detail=event.error.detail)
     drop_if_expired(state, worker, effects)
 
 
-def fall_silent(state: PartitionState, worker: Worker, effects: Effects, *, detail: str) -> None:
+def mark_unresponsive(
+    state: PartitionState, worker: Worker, effects: Effects, *, detail: str
+) -> None:
     """Give a worker no more work until it responds again."""
     if worker.is_unresponsive:
         return
     worker.is_unresponsive = True
-    worker.silent_since_ms = state.now_ms
+    worker.unresponsive_since_ms = state.now_ms
     log_worker_event(worker.id, "worker_silent", detail)
-    doubt_runs(state, worker, effects)
+    mark_runs_doubtful(state, worker, effects)
 
 
-def doubt_runs(state: PartitionState, worker: Worker, effects: Effects) -> None:
+def mark_runs_doubtful(state: PartitionState, worker: Worker, effects: Effects) -> None:
     """Let tasks that allow copies start elsewhere while their worker is unresponsive."""
     for run in worker.runs.values():
         run.is_doubtful = True
@@ -265,7 +267,7 @@
 
 
 @handles(WorkersLeaving)
-def take_leaving(state: PartitionState, event: WorkersLeaving, effects: Effects) -> None:
+def handle_workers_leaving(state: PartitionState, event: WorkersLeaving, effects: Effects) -> None:
     """Start nothing on workers whose machines are about to be removed, and empty them."""
     state.leaving_ms = state.now_ms
     for worker in state.workers.values():
--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from heatherkeel.dispatch.const import GREY_PAUSE_MS, LEASE_MS, LEAVING_MS, SILENT_MS, STANDING_MS
+from heatherkeel.dispatch.const import LEASE_MS, LEAVING_MS, QUARANTINE_MS, SILENT_MS, STANDING_MS
 from heatherkeel.dispatch.events import IncarnationsListed, Tick
 from heatherkeel.dispatch.models import JobState, Run
 from heatherkeel.platform.errors import Failure
@@ -62,7 +62,7 @@
     assert "w0" not in partition.state.workers
     del partition.entries["w0"]
     partition.list_workers()
-    assert not partition.state.gone_lives
+    assert not partition.state.ended_incarnations
 
 
 def test_run_missing_from_a_later_listing_starts_again() -> None:
@@ -122,10 +122,10 @@
     partition = Partition(workers=3, max_failures=9)
     for number in range(3):
         partition.end_run(start_job_on(partition, "w0", f"{number:016x}"), "failed")
-    assert partition.state.workers["w0"].aside_until_ms > partition.now_ms
+    assert partition.state.workers["w0"].quarantined_until_ms > partition.now_ms
     assert not partition.state.workers["w0"].runs
-    partition.tick(GREY_PAUSE_MS)
-    assert partition.state.workers["w0"].takes_work(partition.now_ms)
+    partition.tick(QUARANTINE_MS)
+    assert partition.state.workers["w0"].accepts_work(partition.now_ms)
 
 
 def test_draining_worker_gets_no_new_work() -> None:
@@ -195,7 +195,7 @@
     worker = partition.state.workers["w0"]
     assert not worker.runs
     assert not worker.is_empty()
-    worker.told = worker.seen
+    worker.last_acknowledged_end = worker.last_processed_end
     assert worker.is_empty()
 
 
@@ -232,7 +232,7 @@
     partition.now_ms += STANDING_MS
     effects = partition.list_known_runs("w0", percent=30.0)
     assert set(stopped_runs(effects)) == {first, second}
-    assert not partition.state.workers["w0"].takes_work(partition.now_ms)
+    assert not partition.state.workers["w0"].accepts_work(partition.now_ms)
 
 
 def test_worker_with_one_progressing_task_is_kept() -> None:
@@ -257,9 +257,9 @@
     partition.state.workers["w1"].is_leaving = False
     (again,) = started_runs(partition.answer_start(run, Failure.REFUSED))
     assert again.worker_id == "w1"
-    assert not worker.takes_work(partition.now_ms)
+    assert not worker.accepts_work(partition.now_ms)
     partition.list_known_runs("w0")
-    assert worker.takes_work(partition.now_ms)
+    assert worker.accepts_work(partition.now_ms)
 
 
 def test_start_answered_by_another_incarnation_proves_the_worker_gone() -> None:
