--- a/heatherkeel/jobs/__init__.py
+++ b/heatherkeel/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: accepted, placed, run at most once where they must, and never lost."""
+"""Batch and urgent jobs, decided by the fold: submission, placement, retries and draining."""
--- a/heatherkeel/jobs/const.py
+++ b/heatherkeel/jobs/const.py
@@ -1,4 +1,4 @@
-"""Constants of jobs; times in log milliseconds."""
+"""Constants of the jobs package; times in log milliseconds."""
 
 from __future__ import annotations
 
@@ -8,109 +8,109 @@
 MS_PER_S: Final = 1_000
 
 MAX_JOB_ID_CHARS: Final = 160
-"""Longest full job id (`team:name`), in characters."""
+"""Maximum length of a job id (`team:name`), in characters."""
 
 MAX_BATCH: Final = 1_000
-"""Most jobs that one record names; a wave of cancellations takes several records."""
+"""Maximum number of jobs or samples in one record."""
 
 MAX_REMEMBERED_JOBS: Final = 200_000
-"""Most jobs, live and finished, that the state holds; above it a submission is refused."""
+"""Maximum number of live and finished jobs in the state; further submissions are refused."""
 
 MAX_REMEMBERED_PER_TEAM: Final = 20_000
-"""Most jobs, live and finished, of one team, so that no team fills the table for all."""
+"""Maximum number of live and finished jobs per team, so that no team uses up the total."""
 
 FINISHED_MEMORY_MS: Final = 24 * 3_600_000
-"""How long a finished job is remembered: a resubmission within it is found, not run again."""
+"""Retention of finished jobs; a resubmission within this time doesn't run the job again."""
 
 FORGET_INTERVAL_MS: Final = 60_000
-"""How often the fold looks for finished jobs to forget."""
+"""Minimum time between two removals of expired state."""
 
 RETRY_BASE_MS: Final = 1_000
-"""Wait before the first retry; it doubles with each further failure."""
+"""Delay before the first retry; it doubles with each further failure."""
 
 RETRY_MAX_MS: Final = 300_000
-"""Longest wait before a retry."""
+"""Maximum delay before a retry."""
 
 MAX_START_FAILURES: Final = 20
-"""Placements of one job that may end without having run; then the job fails."""
+"""Number of attempts that failed to start after which a job fails."""
 
 START_WINDOW_MS: Final = 30_000
-"""A start request is void this long after its placement; the platform refuses it later."""
+"""Time after a placement from which the platform refuses to start the task."""
 
 HOLD_MS: Final = 5_000
-"""How long room made by preemption is kept for the urgent job that it was made for."""
+"""How long a worker is held for the urgent job that a preemption frees capacity for."""
 
 QUARANTINE_EVIDENCE: Final = 3
-"""Different jobs that must have failed on a worker, with no success between, to quarantine it."""
+"""Number of different jobs that fail on a worker, without a success, before its quarantine."""
 
 EVIDENCE_WINDOW_MS: Final = 1_800_000
-"""Failures older than this say nothing about a worker any more."""
+"""Failures older than this are no longer counted against a worker."""
 
 QUARANTINE_MS: Final = 600_000
-"""Time after which a quarantined worker is tried again."""
+"""Duration of a quarantine."""
 
 QUARANTINE_SHARE_PERCENT: Final = 10
-"""Largest share of a pool's workers in quarantine at once; a pool of 3 or more may have one."""
+"""Maximum percentage of a pool's workers in quarantine at once; at least one worker."""
 
 QUARANTINE_MIN_POOL: Final = 3
-"""Pools smaller than this quarantine nobody: there would be no other worker to compare with."""
+"""Minimum size of a pool for quarantines; smaller pools have too few workers to compare."""
 
 MAX_FAMILIES: Final = 5_000
-"""Most job families whose usage is remembered; the longest unused one is forgotten first."""
+"""Maximum number of job families with learned usage; the least recently updated is evicted."""
 
 FAMILY_SAMPLES: Final = 16
-"""Newest ended runs of a family that its learned size comes from."""
+"""Number of latest runs of a family that its learned size is based on."""
 
 MIN_FAMILY_SAMPLES: Final = 3
-"""Fewer runs than this teach nothing."""
+"""Minimum number of runs before learned values are used."""
 
 LEARNED_PERCENTILE: Final = 90
-"""The percentile of the peaks of a family that is taken as its size."""
+"""Percentile of a family's samples that is used as its size or run time."""
 
 LEARNED_MARGIN_PERCENT: Final = 15
-"""Added to the learned percentile, since the next peak may be higher."""
+"""Margin added to the learned percentile, as the next peak may be higher."""
 
 MAX_PLACEMENTS_PER_ROUND: Final = 200
-"""Placements of one round: what a process may append at once, and how long it may think."""
+"""Maximum number of placements per round; bounds its records and its run time."""
 
 MAX_PREEMPTIONS_PER_ROUND: Final = 20
-"""Urgent jobs of one round for which room is made by checkpoints."""
+"""Maximum number of urgent jobs per round that other jobs are preempted for."""
 
 FIT_CANDIDATES: Final = 8
-"""Workers with room that are compared for one job; more cost time and gain little."""
+"""Number of suitable workers that are compared for one job."""
 
 PREEMPTION_CANDIDATES: Final = 64
-"""Workers whose batch jobs are compared for one urgent job."""
+"""Number of workers that are compared as preemption candidates for one urgent job."""
 
 DRAIN_PATIENCE_MS: Final = 600_000
-"""A drain waits for a job that is expected to end within this time, and moves it otherwise."""
+"""A drain waits for jobs that are expected to end within this time and checkpoints the others."""
 
 SPREAD_SLACK: Final = 1
-"""Tasks of a family that a zone or a rack may hold above an even share."""
+"""Number of tasks of a family that a zone or rack may run above an even distribution."""
 
 START_GRACE_MS: Final = 2_000
-"""Time that other processes leave the placer to start a task, before they do it."""
+"""Time that other processes wait for the placer to start a task before they start it."""
 
 CHECKPOINT_REPEAT_MS: Final = 2_000
-"""Time after which a checkpoint that shows no result is asked for again."""
+"""Time after which a checkpoint request without a result is repeated."""
 
 USAGE_STEP_PERCENT: Final = 10
-"""Usage is reported again only when its peak has risen by this much."""
+"""Increase of a task's peak usage after which it is reported again."""
 
 VIEW_LAG_MS: Final = 5_000
-"""Longest time that the platform's view of a task is taken to lag."""
+"""Maximum assumed delay of the platform's view of a task."""
 
 MAX_PROGRAM_CHARS: Final = 2_000
-"""Longest description of what a job runs, in characters."""
+"""Maximum length of a job's program, in characters."""
 
 TAKE_OVER_MS: Final = 1_000
-"""How long an urgent job waits before the second in line places it, too."""
+"""How long an urgent job waits before the standby placer places it as well."""
 
 ROUND_INTERVAL_MS: Final = 250
-"""Time between two rounds of the jobs duty."""
+"""Interval between two rounds of the jobs duty."""
 
 MAX_CALLS: Final = 4
-"""Calls to the platform's task interface that one process makes at once."""
+"""Maximum number of concurrent calls to the platform's task interface per process."""
 
 MAX_SPARE_VIEWS: Final = 1_000
-"""Views of ended tasks that a process keeps before it throws the spare ones away."""
+"""Number of cached task views, beyond two per live job, above which unneeded ones are removed."""
--- a/heatherkeel/jobs/models.py
+++ b/heatherkeel/jobs/models.py
@@ -1,4 +1,4 @@
-"""Jobs as the fold knows them: their states, what they hold, and the effects they ask for."""
+"""State of jobs in the fold, and the effects that the fold requests for their tasks."""
 
 from __future__ import annotations
 
@@ -18,37 +18,37 @@
 JobId = Annotated[
     str, Meta(pattern=r"^[a-z0-9._-]+:[A-Za-z0-9._-]{1,95}$", max_length=MAX_JOB_ID_CHARS)
 ]
-"""`team:name`; the caller chooses the name, so a resubmission carries the same id."""
+"""`team:name`; the caller chooses the name, so a resubmission has the same id."""
 
 TaskId = Annotated[str, Meta(pattern=r"^[^:]+:[^:]+:[0-9]+:[0-9]+$", max_length=200)]
 """`team:name:submission:attempt`."""
 
 
 class JobStatus(StrEnum):
-    """Where a job stands; the last three are final."""
+    """Status of a job; the last three are final."""
 
     QUEUED = "queued"
     PLACED = "placed"
-    """An attempt is bound to a worker; its task may or may not have started."""
+    """An attempt is assigned to a worker; its task may or may not have started."""
     RUNNING = "running"
     CHECKPOINTING = "checkpointing"
     UNKNOWN = "unknown"
-    """The task's lease lapsed and nobody can tell whether it ran; its owner decides."""
+    """The task was lost and may have run; its owner decides whether to run the job again."""
     SUCCEEDED = "succeeded"
     FAILED = "failed"
     CANCELLED = "cancelled"
 
 
 HOLDING: Final = (JobStatus.PLACED, JobStatus.RUNNING, JobStatus.CHECKPOINTING)
-"""States in which a job occupies its worker for certain."""
+"""Statuses in which a job occupies its worker."""
 
 
 LEAVING: Final = (InstanceStatus.DRAINING, InstanceStatus.QUIESCED)
-"""Status of a worker in a planned stop or move that its tasks can still hold up."""
+"""Statuses of a worker in a planned stop or move that waits for its tasks."""
 
 
 class Resources(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """An amount of the three resources; memory in MiB, processors in thousandths of a core."""
+    """Amounts of CPU (in thousandths of a core), memory (in MiB) and accelerators."""
 
     cpu_millicores: Annotated[int, Meta(ge=0, le=1_000_000_000)] = 0
     memory_mib: MemoryMib = 0
@@ -58,19 +58,18 @@
 class JobSpec(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, omit_defaults=True
 ):
-    """What the owner declares; sizes and run time (seconds) may be far off.
+    """A job as declared by its owner; sizes and run time (in seconds) are estimates.
 
-    `idempotent` says that running it twice does no harm. `checkpointable` says that it can be
-    stopped at a checkpoint and run on from there; for a job that isn't idempotent it promises
-    as well that what it does after a checkpoint may be done again from that checkpoint.
-    `not_after_ms`, in log time, is the latest start; 0 sets none.
+    `idempotent`: running the job twice does no harm. `checkpointable`: the job can be stopped at
+    a checkpoint and resumed from it; work after the checkpoint may be repeated, even if the job
+    isn't idempotent. `not_after_ms`: latest start in log time; 0 means no limit.
     """
 
     pool: Name
     program: Annotated[str, Meta(max_length=MAX_PROGRAM_CHARS)] = ""
-    """What the platform is to run; it is passed on as it is."""
+    """Program for the platform to run; passed on unchanged."""
     family: Name = "default"
-    """Jobs of one team and family are taken to be alike when sizes are learned."""
+    """Jobs of the same team and family share one learned size."""
     service_class: ServiceClass = ServiceClass.BATCH
     size: Resources = Resources()
     run_time_s: Annotated[int, Meta(ge=0, le=31_536_000)] = 0
@@ -83,47 +82,46 @@
 class Job(msgspec.Struct, kw_only=True, omit_defaults=True):
     """A job that isn't finished; times in log milliseconds.
 
-    A struct in place of a data class, as most fields of most jobs stand at their defaults and
-    are left out of snapshots (`docs/design/jobs.md` has the bytes of both).
+    A struct instead of a data class, so that snapshots omit fields with their default value.
     """
 
     spec: JobSpec
     submitted_ms: int
     submitted_offset: int
-    """Part of the task ids: a job that was forgotten and comes again has other tasks."""
+    """Part of the task ids, so that a job submitted again after its removal gets new task ids."""
     changed_ms: int
     status: JobStatus = JobStatus.QUEUED
     version: int = 1
     attempt: int = 0
-    """The newest attempt; attempts are numbered from 1 and never reused."""
+    """Number of the latest attempt, from 1; numbers are never reused."""
     failures: int = 0
-    """Attempts that ran, or may have run, and did not succeed."""
+    """Attempts that ran or may have run, and didn't succeed."""
     start_failures: int = 0
-    """Attempts that are known not to have run."""
+    """Attempts that are known not to have started."""
     runs: int = 0
-    """Attempts from the start of the work that ran, or may have run."""
+    """Attempts that ran or may have run, except those resumed from a checkpoint."""
     runs_allowed: int = 1
-    """How many such attempts a job that isn't idempotent may have: one more per owner's word."""
+    """Limit of `runs` for a job that isn't idempotent; its owner can raise it by one."""
     not_before_ms: int = 0
     instance: str = ""
     placer: str = ""
     reserved: Resources | None = None
-    """What the newest attempt holds of its worker and of its team's quota."""
+    """Resources that the latest attempt reserves on its worker and in its team's quota."""
     resumed: bool = False
-    """The newest attempt began at a checkpoint."""
+    """Whether the latest attempt was resumed from a checkpoint."""
     checkpoint: str = ""
-    """The task whose checkpoint a further attempt begins at; empty: from the start."""
+    """Task whose checkpoint the next attempt resumes from; empty to start from the beginning."""
     peak_memory_mib: int = 0
     peak_cpu_millicores: int = 0
     started_ms: int = 0
     cancelling: bool = False
     reason: str = ""
     failed_on: list[str] = []
-    """Workers on which attempts failed, the newest last."""
+    """Workers on which attempts failed, in order of the first failure."""
 
 
 class FinishedJob(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What is remembered of a finished job; `spec_digest` tells a resubmission from a clash."""
+    """Summary of a finished job; `spec_digest` distinguishes a resubmission from an id conflict."""
 
     spec_digest: str
     status: JobStatus
@@ -134,25 +132,25 @@
 
 
 class Load(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """What jobs hold of one worker, or of one team's quota."""
+    """Resources that jobs reserve on one worker or in one team's quota."""
 
     cpu_millicores: int = 0
     memory_mib: int = 0
     accelerators: int = 0
     tasks: int = 0
     overrun_mib: int = 0
-    """Memory that running tasks use above what they hold."""
+    """Memory that running tasks use beyond their reservation."""
 
 
 class Hold(msgspec.Struct, frozen=True, kw_only=True):
-    """Room on a worker that is being made for one urgent job; nothing else is placed there."""
+    """Exclusive hold on a worker for the urgent job that capacity is being freed for."""
 
     job: str
     until_ms: int
 
 
 class Orphan(msgspec.Struct, frozen=True, kw_only=True):
-    """A task that its job has given up on, and that may still run on a worker that came back."""
+    """A task that its job has abandoned and that may still run on its worker."""
 
     job: str
     instance: str
@@ -160,14 +158,14 @@
 
 
 class WorkerRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """Evidence against one worker: jobs that failed there, with the time of the failure."""
+    """Recent failures on one worker: time of the last failure by job id."""
 
     failed_jobs: dict[str, int] = {}
     quarantined_until_ms: int = 0
 
 
 class FamilyUsage(msgspec.Struct, kw_only=True):
-    """The newest ended runs of one job family, oldest first."""
+    """Measured usage of the latest runs of one job family, oldest first."""
 
     updated_ms: int
     memory_mib: list[int] = []
@@ -177,12 +175,12 @@
 
 @dataclass(kw_only=True)
 class JobsState:
-    """What the log has decided about jobs; maps by job id, instance id, team or task id."""
+    """State of all jobs; the maps are keyed by job id, instance id, team, task id or family."""
 
     live: dict[str, Job] = field(default_factory=dict)
     finished: dict[str, FinishedJob] = field(default_factory=dict)
     remembered: dict[str, int] = field(default_factory=dict)
-    """Jobs in `live` and `finished`, by team."""
+    """Number of jobs in `live` and `finished`, by team."""
     loads: dict[str, Load] = field(default_factory=dict)
     teams: dict[str, Load] = field(default_factory=dict)
     holds: dict[str, Hold] = field(default_factory=dict)
@@ -191,36 +189,36 @@
     families: dict[str, FamilyUsage] = field(default_factory=dict)
     forgot_ms: int = 0
     accepted: int = 0
-    """Submissions accepted so far; with `forgotten` it shows that no job vanished."""
+    """Number of accepted submissions; checked against live, finished and forgotten jobs."""
     forgotten: int = 0
 
 
 def job_team(job_id: str) -> str:
-    """Return the team that a job id names."""
+    """Return the team part of a job id."""
     return job_id.partition(":")[0]
 
 
 def task_id(job_id: str, job: Job, attempt: int) -> str:
-    """Return the platform's task id of one attempt: the same at every process and every try."""
+    """Return the task id of one attempt; it is the same in every process and on every retry."""
     return f"{job_id}:{job.submitted_offset}:{attempt}"
 
 
 def task_of(job_id: str, job: Job) -> str:
-    """Return the platform's task id of the newest attempt."""
+    """Return the task id of the latest attempt."""
     return task_id(job_id, job, job.attempt)
 
 
 def task_job(task: str) -> str:
-    """Return the job that a task id names."""
+    """Return the job id that a task id contains."""
     return task.rsplit(":", 2)[0]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StartTask(Effect):
-    """Start an attempt; the placer does so at once, any other process if it finds it undone.
+    """Start an attempt; the placer does so at once, other processes if the task is still missing.
 
-    `not_after_ms`, in log time, voids the request: a placer that was paused must not start a
-    task after others have given it up.
+    The platform refuses the request after `not_after_ms` (log time), so that a placer that was
+    paused can't start a task that others have already abandoned.
     """
 
     task: str
@@ -235,7 +233,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StopTask(Effect):
-    """Stop a task; if it never started, the platform must refuse to start it from then on."""
+    """Stop a task; if it hasn't started, the platform must refuse to start it later."""
 
     task: str
     job: str
@@ -244,7 +242,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CheckpointTask(Effect):
-    """Checkpoint a task and stop it there."""
+    """Checkpoint a task and stop it at the checkpoint."""
 
     task: str
     job: str
@@ -253,7 +251,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ThrottleTask(Effect):
-    """Hold a task to this many thousandths of a core."""
+    """Limit a task's CPU to `cpu_millicores`."""
 
     task: str
     job: str
@@ -266,7 +264,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobChanged(Effect):
-    """A job reached a status; `reason` says why, where there is something to say."""
+    """The status of a job changed; `reason` is empty if there is nothing to explain."""
 
     job: str
     status: JobStatus
