--- a/heatherkeel/jobs/learning.py
+++ b/heatherkeel/jobs/learning.py
@@ -1,4 +1,4 @@
-"""Learns the sizes of job families from what their runs were measured to use."""
+"""Learns the sizes and run times of job families from their measured usage."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def family_key(job_id: str, job: Job) -> str:
-    """Return the key under which the usage of jobs like this one is kept."""
+    """Return the key of a job's family in `JobsState.families`."""
     return f"{job_team(job_id)}:{job.spec.family}"
 
 
 def learn(state: FleetState, job_id: str, job: Job, now_ms: int) -> None:
-    """Take the measured use of an attempt that just ended into its family."""
+    """Add the measured usage of an attempt that just ended to its family."""
     if job.peak_memory_mib == 0 and job.peak_cpu_millicores == 0:
         return
     families = state.jobs.families
@@ -36,10 +36,10 @@
 
 
 def expected_size(state: FleetState, job_id: str, job: Job) -> Resources:
-    """Return what an attempt is expected to need: memory never below the declared size.
+    """Return the expected size of an attempt: learned CPU, and at least the declared memory.
 
-    Memory and accelerators can't be taken back from a running task, so they are the larger of
-    declared and learned. Processors can be throttled, so there the measured use counts alone.
+    CPU can be throttled later if the estimate is too low; memory can't be reclaimed from a
+    running task.
     """
     declared = job.spec.size
     usage = state.jobs.families.get(family_key(job_id, job))
@@ -53,7 +53,7 @@
 
 
 def expected_run_time_s(state: FleetState, job_id: str, job: Job) -> int:
-    """Return the learned run time in seconds, or the declared one while nothing is known."""
+    """Return the learned run time in seconds, or the declared one if there are too few samples."""
     usage = state.jobs.families.get(family_key(job_id, job))
     if usage is None or len(usage.run_time_s) < MIN_FAMILY_SAMPLES:
         return job.spec.run_time_s
--- a/heatherkeel/jobs/placing.py
+++ b/heatherkeel/jobs/placing.py
@@ -1,4 +1,4 @@
-"""Decides placements, and checkpoints that make room."""
+"""Decides placements of jobs, and checkpoints for preemptions and drains."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @handles("jobs.place", JobPlace)
 def place_job(state: FleetState, meta: RecordMeta, body: JobPlace) -> Result[Accepted, Rejected]:
-    """Bind the next attempt to a worker, if the job, the worker and the quota allow it."""
+    """Assign the next attempt to a worker, if the job, the worker and the quota allow it."""
     job = state.jobs.live.get(body.job)
     if job is None:
         return Err(not_found(body.job))
@@ -64,10 +64,10 @@
 
 
 def start_task(job_id: str, job: Job) -> StartTask:
-    """Return the effect that starts the newest attempt of a placed job.
+    """Return the effect that starts the latest attempt of a placed job.
 
-    The placer can die before it does so. The effect follows from the state alone and the task
-    id is always the same, so that any other process can do it again without a second run.
+    It depends on the state only and the task id is fixed, so any process can repeat it without a
+    second run if the placer crashes.
     """
     assert job.reserved is not None
     return StartTask(
@@ -83,10 +83,10 @@
 
 
 def _check_job(meta: RecordMeta, body: JobPlace, job: Job) -> Rejected | None:
-    """Refuse a placement that the job doesn't allow.
+    """Return the rejection of a placement that the job doesn't allow, or None.
 
-    Several entry instances place at once and one may have been paused for long. The first
-    placement of a version wins; without this a job would be started by each of them.
+    Several entry instances may place the same version of a job; only the first placement is
+    accepted, or each of them would start the job.
     """
     if job.version != body.expected_version:
         return stale(body.job, job)
@@ -95,8 +95,7 @@
     if body.attempt != job.attempt + 1 or body.task != task_id(body.job, job, body.attempt):
         return wrong_state(body.job, job)
     if not may_run_again(job):
-        # The last gate before a second run of what must not be doubled: whatever queued the
-        # job again, an attempt that may have run counts against it here.
+        # Final check that a job isn't run twice, regardless of what queued it again.
         return Rejected(reason=RejectReason.CONFLICT, detail="it may have run before")
     if meta.now_ms < job.not_before_ms:
         return Rejected(reason=RejectReason.CONFLICT, detail="its retry is not due yet")
@@ -114,8 +113,8 @@
     if is_quarantined(state, body.instance):
         return Rejected(reason=RejectReason.IN_USE, detail=f"{body.instance} is in quarantine")
     if held_for(state, body.instance) not in ("", body.job):
-        # Room made by preemption must not go to whoever is quicker: the urgent job would wait
-        # for the next victim, and more work would be moved than was needed.
+        # Capacity freed by a preemption must not go to another job, or the urgent job would
+        # need further victims.
         return Rejected(reason=RejectReason.IN_USE, detail=f"{body.instance} is held")
     return None
 
--- a/heatherkeel/jobs/quarantine.py
+++ b/heatherkeel/jobs/quarantine.py
@@ -1,8 +1,7 @@
-"""Keeps jobs away from workers that fail everything they start.
+"""Quarantines workers on which several different jobs fail without a success in between.
 
-Such a worker is free most of the time, so it draws job after job and fails them all. One failed
-job proves nothing, as the job may be at fault: what counts are failures of several different
-jobs, with no success between them, and none of a job that failed on other workers too.
+A faulty worker is free most of the time and would attract and fail more jobs. Jobs that fail on
+other workers as well aren't counted.
 """
 
 from __future__ import annotations
@@ -20,13 +19,13 @@
 
 
 def is_quarantined(state: FleetState, instance_id: str) -> bool:
-    """Say whether a worker gets no jobs at present."""
+    """Return whether a worker currently gets no jobs."""
     record = state.jobs.workers.get(instance_id)
     return record is not None and record.quarantined_until_ms > state.now_ms
 
 
 def note_failure(state: FleetState, job_id: str, job: Job, instance_id: str) -> None:
-    """Take a failed attempt as evidence against its worker, unless the job is the suspect."""
+    """Count a failed attempt against its worker, unless the job also failed on other workers."""
     elsewhere = [name for name in job.failed_on if name != instance_id]
     if instance_id not in job.failed_on:
         job.failed_on.append(instance_id)
@@ -44,14 +43,14 @@
 
 
 def note_success(state: FleetState, instance_id: str) -> None:
-    """Clear a worker that ran a job to its end: it does not fail everything."""
+    """Clear the record of a worker on which a job succeeded."""
     state.jobs.workers.pop(instance_id, None)
 
 
 def _withdraw(state: FleetState, job_id: str, instance_ids: list[str]) -> None:
-    """Take back what a job that fails everywhere was held to prove, and release who is cleared.
+    """Remove the failures of a job that fails on several workers, and end their quarantines.
 
-    Without it one team's broken release would put a share of the pool in quarantine.
+    Otherwise a broken release of one team would quarantine a part of the pool.
     """
     for instance_id in instance_ids:
         record = state.jobs.workers.get(instance_id)
@@ -73,10 +72,10 @@
 
 
 def _pool_can_spare(state: FleetState, instance_id: str) -> bool:
-    """Bound the share of a pool in quarantine.
+    """Return whether another worker of the pool may be quarantined.
 
-    A fault outside of the workers (a broken library, a lost store) makes all of them fail.
-    Without the bound the whole pool would end in quarantine, and nothing would run any more.
+    A fault outside of the workers, such as a broken library, makes all of them fail; the limit
+    keeps most of the pool in service.
     """
     instance = state.pools.instances.get(instance_id)
     if instance is None:
--- a/heatherkeel/jobs/records.py
+++ b/heatherkeel/jobs/records.py
@@ -1,4 +1,4 @@
-"""Records about jobs: what owners ask, what placers decide, what the platform was seen to do."""
+"""Records about jobs: requests of owners, placements, and observations of tasks."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class TaskExit(StrEnum):
-    """How the platform says that a task ended."""
+    """How a task ended, as reported by the platform."""
 
     SUCCEEDED = "succeeded"
     FAILED = "failed"
@@ -28,20 +28,20 @@
     STOPPED = "stopped"
     """Stopped on request."""
     REFUSED = "refused"
-    """The worker would not start it."""
+    """The worker refused to start it."""
 
 
 class LossEvidence(StrEnum):
-    """What is known of a task that is no longer heard of."""
+    """What is known about a lost task."""
 
     LEASE_LAPSED = "lease_lapsed"
-    """Its lease ran out; the worker may be cut off with the task still running."""
+    """Its lease expired; the worker may be partitioned with the task still running."""
     TASK_GONE = "task_gone"
-    """The platform says that it can't run any more, but not how far it came."""
+    """It can't run any more; whether it completed its work is unknown."""
 
 
 class Resolution(StrEnum):
-    """What the owner of an unknown job decides."""
+    """Decision of the owner about an unknown job."""
 
     RUN_AGAIN = "run_again"
     GIVE_UP = "give_up"
@@ -55,7 +55,7 @@
 
 
 class JobSubmit(RecordBody, frozen=True, kw_only=True):
-    """Take in a job; the same id and spec again is the same job."""
+    """Submit a job; a record with the same id and spec refers to the same job."""
 
     job: JobId
     team: Name
@@ -63,14 +63,14 @@
 
 
 class JobCancel(RecordBody, frozen=True, kw_only=True):
-    """Cancel jobs of one team; ids that are unknown or finished are passed over."""
+    """Cancel jobs of one team; unknown and finished ids are ignored."""
 
     jobs: JobIds
     team: Name
 
 
 class JobResolve(RecordBody, frozen=True, kw_only=True):
-    """The owner decides about a job in status unknown."""
+    """Resolve a job in status unknown, as decided by its owner."""
 
     job: JobId
     team: Name
@@ -79,13 +79,13 @@
 
 
 class JobUnplaceable(RecordBody, frozen=True, kw_only=True):
-    """A placer says that these jobs can never run; the fold sees for itself."""
+    """Report jobs that can never run; the fold checks each of them."""
 
     jobs: JobIds
 
 
 class JobPlace(RecordBody, frozen=True, kw_only=True):
-    """Bind the next attempt of a job to a worker."""
+    """Assign the next attempt of a job to a worker."""
 
     job: JobId
     attempt: PositiveCount
@@ -103,11 +103,11 @@
     expected_version: PositiveCount
     cause: CheckpointCause
     for_job: str = ""
-    """The urgent job that gets the room."""
+    """The urgent job that gets the freed capacity."""
 
 
 class TaskRecord(RecordBody, frozen=True, kw_only=True):
-    """Base of what is reported about the task of one attempt."""
+    """Base class of reports about the task of one attempt."""
 
     task: TaskId
 
@@ -118,13 +118,13 @@
 
 
 class TaskStarted(TaskRecord, frozen=True, kw_only=True):
-    """The platform says that this attempt is running."""
+    """The platform reports that the task is running."""
 
 
 class TaskEnded(TaskRecord, frozen=True, kw_only=True):
-    """The platform says that this attempt ended, and will not run again.
+    """The platform reports that the task ended and won't run again.
 
-    `ran` is False only if the platform is sure that nothing of it ran.
+    `ran` is False only if the task certainly never started.
     """
 
     exit: TaskExit
@@ -136,25 +136,25 @@
 
 
 class TaskCheckpointed(TaskRecord, frozen=True, kw_only=True):
-    """The platform answered a checkpoint; `stopped` says that the task ended there."""
+    """The platform finished a checkpoint; `stopped` is True if the task ended with it."""
 
     saved: bool
     stopped: bool = False
 
 
 class TaskLost(TaskRecord, frozen=True, kw_only=True):
-    """The platform no longer hears of this attempt."""
+    """The task's lease expired or the platform no longer runs the task."""
 
     expected_version: PositiveCount
     evidence: LossEvidence
 
 
 class TaskProvedNotStarted(TaskRecord, frozen=True, kw_only=True):
-    """The platform says that this attempt never started, and that it will refuse to start it."""
+    """The platform guarantees that the task never started and won't be started."""
 
 
 class UsageSample(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Measured use of one attempt so far."""
+    """Measured usage of one attempt so far."""
 
     task: TaskId
     peak_memory_mib: MemoryMib
@@ -162,6 +162,6 @@
 
 
 class UsageReport(RecordBody, frozen=True, kw_only=True):
-    """Usage of several tasks; the platform's reports lag, so an attempt may be over by now."""
+    """Measured usage of several tasks; reports lag, so an attempt may have ended already."""
 
     samples: Annotated[tuple[UsageSample, ...], Meta(min_length=1, max_length=MAX_BATCH)]
--- a/heatherkeel/jobs/reducer.py
+++ b/heatherkeel/jobs/reducer.py
@@ -1,4 +1,4 @@
-"""Decides what owners ask for: submissions, cancellations, and what to do with the unknown."""
+"""Decides records by job owners (submit, cancel, resolve) and ends jobs that can never run."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @handles("jobs.submit", JobSubmit)
 def submit_job(state: FleetState, meta: RecordMeta, body: JobSubmit) -> Result[Accepted, Rejected]:
-    """Take in a job, or find the one that the same owner submitted before."""
+    """Accept a new job, or answer a resubmission with the existing one."""
     forget_old(state, meta.now_ms)
     if job_team(body.job) != body.team:
         return Err(Rejected(reason=RejectReason.NOT_OWNER, detail=body.job))
@@ -53,10 +53,10 @@
 
 
 def _find_same(state: FleetState, body: JobSubmit) -> Result[Accepted, Rejected] | None:
-    """Answer a resubmission with the job that is there.
+    """Return the outcome for a job id that already exists, or None for a new one.
 
-    The answer to a submission can be lost, and the owner submits again, perhaps much later. A
-    second job would bill a retailer twice.
+    An owner that didn't receive the answer submits again, possibly much later; the job must not
+    run a second time.
     """
     live = state.jobs.live.get(body.job)
     if live is not None and live.spec == body.spec:
@@ -89,7 +89,7 @@
 
 @handles("jobs.cancel", JobCancel)
 def cancel_jobs(state: FleetState, meta: RecordMeta, body: JobCancel) -> Result[Accepted, Rejected]:
-    """End queued jobs at once; ask the platform to stop the others."""
+    """Cancel queued jobs at once; ask the platform to stop the tasks of the others."""
     foreign = next((job_id for job_id in body.jobs if job_team(job_id) != body.team), None)
     if foreign is not None:
         return Err(Rejected(reason=RejectReason.NOT_OWNER, detail=foreign))
@@ -102,10 +102,10 @@
 
 
 def _cancel(state: FleetState, meta: RecordMeta, job_id: str, job: Job) -> Effect:
-    """Cancel one job.
+    """Cancel a queued job, or request the stop of its task.
 
-    A job with a task is cancelled only when the platform has said how the task ended: told
-    earlier, its owner could submit it anew while the first run goes on.
+    A job with a task is reported as cancelled only after its task has ended. Otherwise its owner
+    could submit it again while the first run continues.
     """
     if job.status is JobStatus.QUEUED:
         return finish(state, job_id, job, meta, JobStatus.CANCELLED, "cancelled while queued")
@@ -119,7 +119,7 @@
 def resolve_job(
     state: FleetState, meta: RecordMeta, body: JobResolve
 ) -> Result[Accepted, Rejected]:
-    """Do with an unknown job what its owner decided."""
+    """Run an unknown job again, or let it fail, as its owner decided."""
     if job_team(body.job) != body.team:
         return Err(Rejected(reason=RejectReason.NOT_OWNER, detail=body.job))
     job = state.jobs.live.get(body.job)
@@ -146,7 +146,7 @@
 def end_unplaceable(
     state: FleetState, meta: RecordMeta, body: JobUnplaceable
 ) -> Result[Accepted, Rejected]:
-    """End those of the named jobs that can never run as things stand at this offset."""
+    """End the listed jobs that can never run in the state at this offset."""
     queued = {
         job_id: job
         for job_id in body.jobs
--- a/heatherkeel/jobs/reservations.py
+++ b/heatherkeel/jobs/reservations.py
@@ -1,4 +1,4 @@
-"""Keeps account of what jobs hold of workers and of team quotas."""
+"""Accounting of the resources that jobs reserve on workers and in team quotas."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def capacity_of(instance: Instance) -> Resources:
-    """Return all that a worker has."""
+    """Return the total resources of a worker."""
     return Resources(
         cpu_millicores=instance.cpus * MILLICORES_PER_CPU,
         memory_mib=instance.memory_mib,
@@ -22,7 +22,7 @@
 
 
 def quota_of(state: FleetState, team: str) -> Resources | None:
-    """Return a team's quota over all pools, or None for a team that has no entry."""
+    """Return a team's quota over all pools, or None if the team has no entry."""
     stored = state.catalogue.entries.get(team)
     if stored is None or not isinstance(stored.entry, TeamEntry):
         return None
@@ -34,7 +34,7 @@
 
 
 def free_of(capacity: Resources, load: Load | None) -> Resources:
-    """Return what is left; nothing of a resource that is overrun."""
+    """Return the free resources, at least 0 each."""
     if load is None:
         return capacity
     return Resources(
@@ -45,7 +45,7 @@
 
 
 def fits(need: Resources, room: Resources) -> bool:
-    """Say whether a need can be met from this room."""
+    """Return whether the available resources cover a need."""
     return (
         need.cpu_millicores <= room.cpu_millicores
         and need.memory_mib <= room.memory_mib
@@ -54,10 +54,9 @@
 
 
 def clip_need(expected: Resources, declared: Resources, *limits: Resources) -> Resources:
-    """Return the expected size, cut to the limits, but never below the declared one.
+    """Return the expected size, reduced to the limits but not below the declared size.
 
-    A learned size can be larger than the worker or the quota. Without the cut a job that its
-    owner sized to fit would wait for ever for a worker that doesn't exist.
+    A learned size can exceed every worker or the quota, and the job would wait forever.
     """
     return Resources(
         cpu_millicores=_clip(
@@ -83,7 +82,7 @@
 def need_of(
     state: FleetState, job_id: str, job: Job, instance: Instance, quota: Resources
 ) -> Resources:
-    """Return what an attempt would hold on this worker."""
+    """Return the resources that an attempt would reserve on this worker."""
     expected = expected_size(state, job_id, job)
     return clip_need(expected, job.spec.size, capacity_of(instance), quota)
 
@@ -91,10 +90,9 @@
 def find_shortage(
     state: FleetState, team: str, quota: Resources, instance_id: str, need: Resources
 ) -> Rejected | None:
-    """Refuse what the team's quota or the worker has no room for.
+    """Return the rejection of a need that exceeds the team's quota or the worker, or None.
 
-    Two placers that race see the same free room and both fill it. Checked here, where all
-    records come by in one order, the second one is refused.
+    Checked in the fold, so that two racing placers can't both use the same free capacity.
     """
     if not fits(need, free_of(quota, state.jobs.teams.get(team))):
         return Rejected(reason=RejectReason.QUOTA, detail=f"team {team} has no quota left")
@@ -105,7 +103,7 @@
 
 
 def held_for(state: FleetState, instance_id: str) -> str:
-    """Return the urgent job that room on a worker is kept for now; empty if there is none."""
+    """Return the urgent job that a worker is currently held for; empty if there is none."""
     hold = state.jobs.holds.get(instance_id)
     if hold is None or hold.until_ms <= state.now_ms:
         return ""
@@ -113,7 +111,7 @@
 
 
 def take(state: FleetState, job_id: str, job: Job, instance_id: str, need: Resources) -> None:
-    """Book a need on a worker and on the team of the job."""
+    """Reserve resources for a job on a worker and in the quota of its team."""
     job.instance = instance_id
     job.reserved = need
     _book(state.jobs.loads, instance_id, need)
@@ -121,7 +119,7 @@
 
 
 def give_back(state: FleetState, job_id: str, job: Job) -> None:
-    """Release all that the newest attempt holds, since its task can't run any more."""
+    """Release the reservation of the latest attempt, whose task can't run any more."""
     if job.reserved is None:
         return
     state.jobs.loads[job.instance].overrun_mib -= overrun_of(job)
@@ -131,10 +129,10 @@
 
 
 def abandon(state: FleetState, job_id: str, job: Job) -> None:
-    """Give up on a task that may still run: the team is free of it, the worker is not.
+    """Abandon a task that may still run: release the team's quota, but not the worker.
 
-    A worker that was cut off comes back with its task. If its room had been given away, the
-    worker would then run more than it has memory for, and other jobs would be killed with it.
+    A partitioned worker can come back with the task running. With its capacity reassigned, the
+    worker would run out of memory and other jobs would be killed.
     """
     if job.reserved is None:
         return
@@ -146,13 +144,13 @@
 
 
 def drop_orphan(state: FleetState, task: str) -> None:
-    """Release what an abandoned task held, since it can't run any more."""
+    """Release the reservation of an abandoned task that can't run any more."""
     orphan = state.jobs.orphans.pop(task)
     _unbook(state.jobs.loads, orphan.instance, orphan.reserved)
 
 
 def note_usage(state: FleetState, job: Job, *, memory_mib: int, cpu_millicores: int) -> None:
-    """Take in measured use; what goes beyond the reservation is closed to further jobs."""
+    """Record measured usage; memory used beyond the reservation isn't available to other jobs."""
     before = overrun_of(job)
     job.peak_memory_mib = max(job.peak_memory_mib, memory_mib)
     job.peak_cpu_millicores = max(job.peak_cpu_millicores, cpu_millicores)
@@ -161,7 +159,7 @@
 
 
 def overrun_of(job: Job) -> int:
-    """Return the memory in MiB that an attempt was seen to use above what it holds."""
+    """Return the memory in MiB that an attempt used beyond its reservation."""
     if job.reserved is None:
         return 0
     return max(0, job.peak_memory_mib - job.reserved.memory_mib)
--- a/heatherkeel/jobs/tasks.py
+++ b/heatherkeel/jobs/tasks.py
@@ -1,7 +1,7 @@
-"""Takes in what the platform was seen to do with the task of an attempt.
+"""Decides records about tasks, as observed on the platform.
 
-These records are evidence, not decisions: several entry instances may report the same thing, in
-any order and late. Each is matched to its attempt, and says no more than it proves.
+Several entry instances may report the same observation, in any order and late, so each record is
+matched to the attempt that it belongs to.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 def task_started(
     state: FleetState, meta: RecordMeta, body: TaskStarted
 ) -> Result[Accepted, Rejected]:
-    """Note that an attempt runs; stop it if its job was given up on."""
+    """Mark an attempt as running; stop its task if it was abandoned or is being cancelled."""
     orphan = state.jobs.orphans.get(body.task)
     if orphan is not None:
         return Ok(accepted(0, StopTask(task=body.task, job=body.job, instance=orphan.instance)))
@@ -66,7 +66,7 @@
 
 @handles("jobs.ended", TaskEnded)
 def task_ended(state: FleetState, meta: RecordMeta, body: TaskEnded) -> Result[Accepted, Rejected]:
-    """Decide between success, a further attempt, and failure."""
+    """Finish the job or queue a further attempt after its task ended."""
     if body.exit is TaskExit.SUCCEEDED and not body.ran:
         return Err(Rejected(reason=RejectReason.MALFORMED, detail="succeeded, but did not run"))
     if body.task in state.jobs.orphans:
@@ -81,7 +81,7 @@
 
 
 def _orphan_ended(state: FleetState, meta: RecordMeta, body: TaskEnded) -> Accepted:
-    """Release an abandoned task; its success counts if no newer attempt was placed yet."""
+    """Release an abandoned task; its success counts if no newer attempt has been placed."""
     drop_orphan(state, body.task)
     job = state.jobs.live.get(body.job)
     if job is None or job.status is not JobStatus.QUEUED or body.task != task_of(body.job, job):
@@ -104,7 +104,7 @@
     if body.exit in (TaskExit.FAILED, TaskExit.REFUSED):
         note_failure(state, body.job, job, instance)
     reason = f"{body.exit} on {instance} {body.detail}".rstrip()
-    # A task that was seen running did run, whatever a later answer says.
+    # A task that was reported as running did run, even if a later report denies it.
     if not body.ran and job.started_ms == 0:
         changed = after_start_failure(state, body.job, job, meta, reason)
         return accepted(changed.version, changed)
@@ -115,7 +115,7 @@
 def _after_run(
     state: FleetState, meta: RecordMeta, body: TaskEnded, job: Job, reason: str
 ) -> JobChanged:
-    """Decide what follows an attempt that ran and did not succeed."""
+    """Cancel, fail or retry a job after an attempt that ran and didn't succeed."""
     if job.cancelling:
         return finish(state, body.job, job, meta, JobStatus.CANCELLED, reason)
     if not body.retryable:
@@ -130,7 +130,7 @@
 def task_not_started(
     state: FleetState, meta: RecordMeta, body: TaskProvedNotStarted
 ) -> Result[Accepted, Rejected]:
-    """Queue a job again whose attempt never started and never will."""
+    """Queue a job again after the platform proved that its task will never start."""
     if body.task in state.jobs.orphans:
         drop_orphan(state, body.task)
         return Ok(accepted(0))
@@ -149,7 +149,7 @@
 def task_checkpointed(
     state: FleetState, meta: RecordMeta, body: TaskCheckpointed
 ) -> Result[Accepted, Rejected]:
-    """Note a checkpoint, and queue the job again if its task stopped there."""
+    """Record a checkpoint, and queue the job again if its task stopped."""
     if body.task in state.jobs.orphans:
         if body.stopped:
             drop_orphan(state, body.task)
@@ -185,7 +185,7 @@
 
 @handles("jobs.lost", TaskLost)
 def task_lost(state: FleetState, meta: RecordMeta, body: TaskLost) -> Result[Accepted, Rejected]:
-    """Decide about an attempt that is no longer heard of, without guessing whether it ran."""
+    """Handle a task whose lease has expired or that the platform can't run any more."""
     gone = body.evidence is LossEvidence.TASK_GONE
     if body.task in state.jobs.orphans and gone:
         drop_orphan(state, body.task)
@@ -210,7 +210,7 @@
 def _lost_for_good(
     state: FleetState, meta: RecordMeta, job_id: str, job: Job, reason: str
 ) -> JobChanged:
-    """Decide about a task that can't run any more, of which nobody knows how far it came."""
+    """Retry a job whose task can't run any more, or mark it unknown if it must not run twice."""
     if may_run_again(job):
         return after_failure(state, job_id, job, meta, reason)
     words = f"{reason}: it may have run, and is not idempotent"
@@ -218,10 +218,10 @@
 
 
 def _lease_lapsed(state: FleetState, meta: RecordMeta, job_id: str, job: Job) -> JobChanged:
-    """Decide about a task whose worker may be cut off with the task still running.
+    """Retry an idempotent job whose lease has expired, or mark any other job as unknown.
 
-    Started anew elsewhere, a ledger job would then run twice at the same time. Only a job that
-    bears this goes on; any other waits for proof, and its owner is told why.
+    The worker may be partitioned with the task still running, so a second attempt could run at
+    the same time. Jobs that aren't idempotent wait for proof or for their owner's decision.
     """
     if job.spec.idempotent:
         reason = f"lease lapsed on {job.instance}"
--- a/heatherkeel/jobs/transitions.py
+++ b/heatherkeel/jobs/transitions.py
@@ -1,4 +1,4 @@
-"""Moves of a job from one status to another, shared by all handlers of job records."""
+"""Status transitions of jobs, shared by the handlers of job records."""
 
 from __future__ import annotations
 
@@ -33,35 +33,35 @@
 
 
 def spec_digest(spec: JobSpec) -> str:
-    """Return a short digest by which a resubmission is told from another job of the same id."""
+    """Return a digest that distinguishes a resubmission from another job with the same id."""
     return hashlib.blake2b(_ENCODER.encode(spec), digest_size=8).hexdigest()
 
 
 def not_found(job_id: str) -> Rejected:
-    """Refuse a record about a job that isn't known, or not any more."""
+    """Return the rejection of a record about a job that isn't live."""
     return Rejected(reason=RejectReason.NOT_FOUND, detail=job_id)
 
 
 def wrong_state(job_id: str, job: Job) -> Rejected:
-    """Refuse a record that doesn't apply to the status that the job is in."""
+    """Return the rejection of a record that doesn't apply to the job's status."""
     detail = f"{job_id} is {job.status} at attempt {job.attempt}"
     return Rejected(reason=RejectReason.WRONG_STATE, detail=detail, version=job.version)
 
 
 def stale(job_id: str, job: Job) -> Rejected:
-    """Refuse a decision whose author had not seen the newest version of the job."""
+    """Return the rejection of a record that is based on an outdated version of the job."""
     return Rejected(reason=RejectReason.STALE_VERSION, detail=job_id, version=job.version)
 
 
 def may_run_again(job: Job) -> bool:
-    """Say whether a further attempt can't double what must run at most once."""
+    """Return whether another attempt is allowed; jobs that aren't idempotent have limited runs."""
     return job.spec.idempotent or bool(job.checkpoint) or job.runs < job.runs_allowed
 
 
 def move(
     job_id: str, job: Job, meta: RecordMeta, status: JobStatus, reason: str = ""
 ) -> JobChanged:
-    """Set a status that isn't final, and tell of it."""
+    """Set the status of a job and return the effect that reports it."""
     job.status = status
     job.reason = reason
     job.version += 1
@@ -79,7 +79,7 @@
     status: JobStatus,
     reason: str = "",
 ) -> JobChanged:
-    """End a job for good, and keep what a later question or resubmission needs."""
+    """Finish a job and keep a summary of it for queries and resubmissions."""
     give_back(state, job_id, job)
     changed = move(job_id, job, meta, status, reason)
     del state.jobs.live[job_id]
@@ -97,7 +97,7 @@
 def requeue(
     state: FleetState, job_id: str, job: Job, meta: RecordMeta, *, wait_ms: int, reason: str
 ) -> JobChanged:
-    """Queue a job again; the caller has released or abandoned what its attempt held."""
+    """Queue a job again; the caller has released or abandoned its reservation."""
     job.not_before_ms = meta.now_ms + wait_ms
     job.instance = ""
     return move(job_id, job, meta, JobStatus.QUEUED, reason)
@@ -106,7 +106,7 @@
 def after_failure(
     state: FleetState, job_id: str, job: Job, meta: RecordMeta, reason: str
 ) -> JobChanged:
-    """Queue a job again after an attempt that ran or may have run, or end it at its limit."""
+    """Retry a job after an attempt that ran or may have run, unless its limit is reached."""
     job.failures += 1
     if job.cancelling:
         return finish(state, job_id, job, meta, JobStatus.CANCELLED, reason)
@@ -119,7 +119,7 @@
 def after_start_failure(
     state: FleetState, job_id: str, job: Job, meta: RecordMeta, reason: str
 ) -> JobChanged:
-    """Queue a job again after an attempt that is known not to have run."""
+    """Retry a job after an attempt that is known not to have run, unless its limit is reached."""
     job.start_failures += 1
     if not job.resumed:
         job.runs -= 1
@@ -133,30 +133,30 @@
 
 
 def backoff_ms(failures: int) -> int:
-    """Return the wait before the next try in log milliseconds; it doubles up to a limit."""
+    """Return the delay before the next attempt in log milliseconds (exponential backoff)."""
     doublings = min(failures - 1, 20)
     return min(RETRY_BASE_MS << doublings, RETRY_MAX_MS)
 
 
 def stop_task(job_id: str, job: Job) -> StopTask:
-    """Return the effect that stops the newest attempt of a job."""
+    """Return the effect that stops the latest attempt of a job."""
     return StopTask(task=task_of(job_id, job), job=job_id, instance=job.instance)
 
 
 def checkpoint_task(job_id: str, job: Job) -> CheckpointTask:
-    """Return the effect that checkpoints the newest attempt of a job and stops it there."""
+    """Return the effect that checkpoints and stops the latest attempt of a job."""
     return CheckpointTask(task=task_of(job_id, job), job=job_id, instance=job.instance)
 
 
 def accepted(version: int, *effects: Effect) -> Accepted:
-    """Take a record, with the effects that follow from it."""
+    """Return the acceptance of a record with its effects."""
     return Accepted(version=version, effects=effects)
 
 
 def forget_old(state: FleetState, now_ms: int) -> None:
-    """Forget finished jobs after their time, and what stands about workers that are gone.
+    """Remove expired finished jobs and holds, and entries of workers that no longer exist.
 
-    It follows from log time alone, so it may run ahead of a record that is then refused.
+    This depends on log time only, so it may precede a record that is then refused.
     """
     jobs = state.jobs
     if now_ms - jobs.forgot_ms < FORGET_INTERVAL_MS:
--- a/heatherkeel/jobs/usage.py
+++ b/heatherkeel/jobs/usage.py
@@ -1,4 +1,4 @@
-"""Takes in the platform's usage reports, which lag behind the tasks."""
+"""Decides usage reports of the platform, which lag behind the tasks."""
 
 from __future__ import annotations
 
@@ -18,14 +18,13 @@
 def report_usage(
     state: FleetState, meta: RecordMeta, body: UsageReport
 ) -> Result[Accepted, Rejected]:
-    """Keep the peaks of the attempts that are still the newest; pass over the others."""
+    """Record the peak usage of current attempts; samples of older attempts are ignored."""
     effects: list[Effect] = []
     taken = 0
     for sample in body.samples:
         job_id = task_job(sample.task)
         job = state.jobs.live.get(job_id)
-        # A report that lags can be of an attempt that is over. Booked on the newer one, it would
-        # fill a worker that the old attempt never ran on.
+        # A delayed sample of an earlier attempt must not count against the current worker.
         if job is None or job.status not in HOLDING or task_of(job_id, job) != sample.task:
             continue
         taken += 1
@@ -39,7 +38,7 @@
 
 
 def _throttle(state: FleetState, sample: UsageSample, job: Job) -> list[Effect]:
-    """Hold a batch task to its reservation where it takes processors that others hold."""
+    """Throttle a batch task to its reservation if it uses CPU that is reserved for others."""
     instance = state.pools.instances.get(job.instance)
     if instance is None or job.reserved is None or job.spec.service_class is not ServiceClass.BATCH:
         return []
