--- a/heatherkeel/jobs/best_fit.py
+++ b/heatherkeel/jobs/best_fit.py
@@ -1,4 +1,4 @@
-"""The policy in use: fair order, learned sizes, tight fit, spread, and room made for the urgent."""
+"""The default policy: best fit by learned size, fair between teams, spread, with preemption."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from .reservations import clip_need
 
 SpreadKey = tuple[str, str]
-"""A job family, and a pool, an availability zone or a rack."""
+"""Job family, and name of a pool, availability zone or rack."""
 
 
 @dataclass(kw_only=True, slots=True)
 class _Round:
-    """All that one round keeps in hand."""
+    """Working data of one round."""
 
     state: FleetState
     request: RoundRequest
@@ -38,7 +38,7 @@
 
 @policy("best_fit")
 def plan_best_fit(state: FleetState, request: RoundRequest) -> PlacementRound:
-    """Plan one round; jobs that find no room wait, urgent ones have room made for them."""
+    """Plan one round; other jobs are preempted for urgent jobs that don't fit."""
     planned = PlacementRound()
     due = due_jobs(state, request, planned)
     if not due:
@@ -95,7 +95,7 @@
 
 
 def _size(this: _Round, job_id: str, job: Job) -> Resources:
-    """Return the expected size; jobs of one family and declared size share the answer."""
+    """Return the expected size, cached by family and declared size."""
     key = (family_key(job_id, job), job.spec.size)
     size = this.sizes.get(key)
     if size is None:
@@ -107,7 +107,7 @@
 def _find_room(
     this: _Round, pool: PoolRooms, job_id: str, job: Job, need: Resources
 ) -> Room | None:
-    """Return the tightest of the first workers that suit, else any worker with room."""
+    """Return the best fit among the first suitable workers, or any worker that has capacity."""
     held = pool.held.get(job_id)
     if held is not None and held.has(need):
         return held
@@ -132,10 +132,10 @@
 
 
 def _suits(this: _Round, pool: PoolRooms, job_id: str, job: Job) -> Callable[[Room], bool]:
-    """Return a test for workers on which the job did not fail, and that don't crowd its family.
+    """Return a predicate for workers that keep the family spread and haven't failed the job.
 
-    A zone or a rack may hold its share of the family and a little more. Spread as far as it
-    goes, small families would take a part of every worker, and leave no room for large jobs.
+    The spread limits are loose: spreading small families as widely as possible would fragment
+    the workers and leave no capacity for large jobs.
     """
     family = family_key(job_id, job)
     spread = this.spread
@@ -154,7 +154,7 @@
 
 
 def _count_families(state: FleetState, jobs: Mapping[str, Job]) -> dict[SpreadKey, int]:
-    """Count the tasks of each family by pool, by availability zone and by rack."""
+    """Count the tasks of each family by pool, availability zone and rack."""
     spread: dict[SpreadKey, int] = {}
     for job_id, job in jobs.items():
         if job.status not in HOLDING:
--- a/heatherkeel/jobs/draining.py
+++ b/heatherkeel/jobs/draining.py
@@ -1,4 +1,4 @@
-"""Decides what becomes of the jobs on a draining worker, so that as few as possible move."""
+"""Plans checkpoints for jobs on draining workers, and waits for jobs that end soon."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DrainWait:
-    """A job that a drain waits for, and why; shown to the operator."""
+    """A job that a drain waits for, and the reason."""
 
     job: str
     instance: str
@@ -24,16 +24,17 @@
 
 @dataclass(kw_only=True, slots=True)
 class DrainPlan:
-    """Jobs to checkpoint now, and jobs to wait for."""
+    """Checkpoints to request now, and jobs to wait for."""
 
     records: list[JobCheckpoint] = field(default_factory=list)
     waits: list[DrainWait] = field(default_factory=list)
 
 
 def plan_drains(state: FleetState, jobs: Mapping[str, Job] | None = None) -> DrainPlan:
-    """Plan for the jobs on draining workers, or for some of them.
+    """Plan the drains of the given jobs, or of all live jobs.
 
-    A job that is about to end is waited for: moving it would cost more than it has left to do.
+    A drain waits for jobs that end soon, as moving them would cost more than their remaining run
+    time.
     """
     plan = DrainPlan()
     draining = {
@@ -55,7 +56,7 @@
 
 
 def tasks_left(state: FleetState, instance_id: str) -> int:
-    """Return how many tasks may still run on a worker; it may be stopped only at 0."""
+    """Return the number of tasks that may still run on a worker; it can be stopped only at 0."""
     load = state.jobs.loads.get(instance_id)
     return 0 if load is None else load.tasks
 
@@ -74,7 +75,7 @@
 
 
 def _remaining_ms(state: FleetState, job_id: str, job: Job) -> int:
-    """Return the expected rest of the run; not above 0 if it lasts longer than was expected."""
+    """Return the expected remaining run time; 0 or less if the job is overdue."""
     expected_ms = expected_run_time_s(state, job_id, job) * MS_PER_S
     return job.started_ms + expected_ms - state.now_ms
 
--- a/heatherkeel/jobs/fairness.py
+++ b/heatherkeel/jobs/fairness.py
@@ -1,4 +1,4 @@
-"""The order of queued jobs: urgent first, then the team that uses least of its quota."""
+"""Order of queued jobs: by service class, then by the teams' dominant share of their quota."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class TeamUse:
-    """What a team uses in this round, against its quota."""
+    """Usage and quota of a team in this round."""
 
     quota: Resources
     cpu_millicores: int = 0
@@ -26,7 +26,7 @@
     accelerators: int = 0
 
     def share(self) -> int:
-        """Return the largest share, in millionths, that the team uses of any of its quotas."""
+        """Return the dominant share: the largest used fraction of any quota, in millionths."""
         return max(
             _share(self.cpu_millicores, self.quota.cpu_millicores),
             _share(self.memory_mib, self.quota.memory_mib),
@@ -34,7 +34,7 @@
         )
 
     def has(self, need: Resources) -> bool:
-        """Say whether the quota has room for a need."""
+        """Return whether the remaining quota covers a need."""
         return (
             self.cpu_millicores + need.cpu_millicores <= self.quota.cpu_millicores
             and self.memory_mib + need.memory_mib <= self.quota.memory_mib
@@ -42,7 +42,7 @@
         )
 
     def left(self) -> Resources:
-        """Return what is left of the quota; nothing of one that was lowered below the use."""
+        """Return the remaining quota, at least 0 of each resource."""
         return Resources(
             cpu_millicores=max(0, self.quota.cpu_millicores - self.cpu_millicores),
             memory_mib=max(0, self.quota.memory_mib - self.memory_mib),
@@ -50,7 +50,7 @@
         )
 
     def add(self, need: Resources) -> None:
-        """Count a placement."""
+        """Add the resources of a placement to the usage."""
         self.cpu_millicores += need.cpu_millicores
         self.memory_mib += need.memory_mib
         self.accelerators += need.accelerators
@@ -58,10 +58,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class FairQueue:
-    """Hands out queued jobs; the caller counts each placement by `TeamUse.add`, before the next.
+    """Queue of one round; the caller adds each placement to its `TeamUse` before the next `pop`.
 
-    Within a class the team with the smallest dominant share comes next, so that a team that
-    submits ten thousand jobs at once can't push the others back by more than its quota's worth.
+    Within a service class, the team with the smallest dominant share comes next, so that a team
+    with a large backlog can't starve the others.
     """
 
     teams: dict[str, TeamUse] = field(default_factory=dict)
@@ -69,7 +69,7 @@
     heaps: dict[ServiceClass, list[tuple[int, str]]] = field(default_factory=dict)
 
     def pop(self) -> str | None:
-        """Return the next job, or None when all were handed out."""
+        """Return the next job, or None if the queue is empty."""
         for service_class in CLASS_ORDER:
             heap = self.heaps.get(service_class)
             while heap:
--- a/heatherkeel/jobs/feasibility.py
+++ b/heatherkeel/jobs/feasibility.py
@@ -1,4 +1,4 @@
-"""Tells jobs that can never run from those that only have to wait."""
+"""Distinguishes jobs that can never run from jobs that have to wait."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def pool_shapes(state: FleetState, pools: Set[str]) -> PoolShapes:
-    """Return the different sizes of the workers of some pools, whatever their status."""
+    """Return the distinct worker sizes of each pool, regardless of the workers' status."""
     shapes: PoolShapes = {}
     for instance in state.pools.instances.values():
         if instance.pool not in pools:
@@ -24,10 +24,10 @@
 
 
 def why_never(state: FleetState, shapes: PoolShapes, job_id: str, job: Job) -> str:
-    """Return why a queued job can never run, or an empty string if it may.
+    """Return why a queued job can never run, or an empty string if it may run later.
 
-    Only declared sizes count here: a learned size is a guess, and ends no job. A pool without
-    any worker is no reason either, as workers are replaced all the time.
+    Only the declared size counts, as learned sizes are estimates. An empty pool is no reason,
+    since workers are replaced.
     """
     if 0 < job.spec.not_after_ms < state.now_ms:
         return "not started by its latest start"
--- a/heatherkeel/jobs/first_fit.py
+++ b/heatherkeel/jobs/first_fit.py
@@ -1,4 +1,4 @@
-"""The baseline policy: jobs in the order of their submission, the first worker with room."""
+"""The baseline policy: each job in order of submission on the first worker that has capacity."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @policy("first_fit")
 def plan_first_fit(state: FleetState, request: RoundRequest) -> PlacementRound:
-    """Place by declared sizes, without regard to teams, classes, racks or quotas."""
+    """Place by declared size, ignoring teams, service classes, racks and quotas."""
     planned = PlacementRound()
     due = due_jobs(state, request, planned)
     rooms = find_rooms(state, request.pools)
--- a/heatherkeel/jobs/packing.py
+++ b/heatherkeel/jobs/packing.py
@@ -1,4 +1,4 @@
-"""Free room of workers, ordered so that a tight fit is found without looking at all of them."""
+"""Free capacity of workers, sorted to find a best fit without scanning all of them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class Room:
-    """What is free on one worker in this round."""
+    """Free capacity of one worker in this round."""
 
     instance: str
     zone: str
@@ -31,7 +31,7 @@
     held_for: str = ""
 
     def has(self, need: Resources) -> bool:
-        """Say whether there is room for a need."""
+        """Return whether the free capacity covers a need."""
         return (
             need.memory_mib <= self.memory_mib
             and need.cpu_millicores <= self.cpu_millicores
@@ -39,13 +39,13 @@
         )
 
     def take(self, need: Resources) -> None:
-        """Take up room."""
+        """Reserve capacity."""
         self.cpu_millicores -= need.cpu_millicores
         self.memory_mib -= need.memory_mib
         self.accelerators -= need.accelerators
 
     def left(self) -> Resources:
-        """Return what is free."""
+        """Return the free capacity."""
         return Resources(
             cpu_millicores=self.cpu_millicores,
             memory_mib=self.memory_mib,
@@ -53,7 +53,7 @@
         )
 
     def left_over(self, need: Resources) -> int:
-        """Return what would stay free of the resource that the need takes most of, per mille."""
+        """Return what would remain of the need's dominant resource, CPU or memory, in per mille."""
         cpu_total = max(1, self.capacity.cpu_millicores)
         memory_total = max(1, self.capacity.memory_mib)
         if need.cpu_millicores * memory_total > need.memory_mib * cpu_total:
@@ -62,28 +62,28 @@
 
 
 Slot = tuple[int, str]
-"""Free memory in MiB, and the instance id."""
+"""Free memory in MiB, and instance id."""
 
 
 @dataclass(kw_only=True, slots=True)
 class PoolRooms:
-    """Free room of one pool in this round."""
+    """Free capacity of one pool in this round."""
 
     by_id: dict[str, Room] = field(default_factory=dict)
     plain: list[Slot] = field(default_factory=list)
     """Workers without a free accelerator, by free memory."""
     accelerated: list[Slot] = field(default_factory=list)
-    """Workers with a free accelerator, by free memory: other jobs come here last."""
+    """Workers with a free accelerator, by free memory; the last choice for other jobs."""
     zones: set[str] = field(default_factory=set)
     racks: set[str] = field(default_factory=set)
     largest: Resources = _NOTHING
-    """The largest amount of each resource that any worker has."""
+    """Largest total amount of each resource on any worker."""
     held: dict[str, Room] = field(default_factory=dict)
-    """The worker on which room was made for a job, by job id."""
+    """Worker that is held for an urgent job, by job id."""
     failed_needs: list[Resources] = field(default_factory=list)
 
     def add(self, room: Room) -> None:
-        """Take in a worker."""
+        """Add a worker; call `sort` after the last one."""
         self.by_id[room.instance] = room
         if room.held_for:
             self.held[room.held_for] = room
@@ -93,19 +93,19 @@
         self._slots(room).append((room.memory_mib, room.instance))
 
     def sort(self) -> None:
-        """Order the workers, once all are added."""
+        """Sort the workers by free memory."""
         self.plain.sort()
         self.accelerated.sort()
 
     def take(self, room: Room, need: Resources) -> None:
-        """Take up room, and keep the order."""
+        """Reserve capacity on a worker, and keep the workers sorted."""
         slots = self._slots(room)
         del slots[bisect_left(slots, (room.memory_mib, room.instance))]
         room.take(need)
         insort(self._slots(room), (room.memory_mib, room.instance))
 
     def is_hopeless(self, need: Resources) -> bool:
-        """Say whether a need no larger than this one found no room in this round."""
+        """Return whether an equal or smaller need has already failed in this round."""
         return any(
             failed.memory_mib <= need.memory_mib
             and failed.cpu_millicores <= need.cpu_millicores
@@ -114,7 +114,7 @@
         )
 
     def with_room(self, need: Resources, job_id: str) -> Iterator[Room]:
-        """Yield the workers that have room, those with the least free memory first."""
+        """Yield the workers with enough capacity, those with the least free memory first."""
         lists = (self.accelerated,) if need.accelerators > 0 else (self.plain, self.accelerated)
         for slots in lists:
             for index in range(bisect_left(slots, (need.memory_mib, "")), len(slots)):
@@ -127,7 +127,7 @@
 
 
 def find_rooms(state: FleetState, pools: frozenset[str] | None) -> dict[str, PoolRooms]:
-    """Return the free room of every worker that may get new jobs, by pool."""
+    """Return the free capacity of the workers that accept new jobs, by pool."""
     rooms: dict[str, PoolRooms] = {}
     for instance_id, instance in state.pools.instances.items():
         if pools is not None and instance.pool not in pools:
--- a/heatherkeel/jobs/policies.py
+++ b/heatherkeel/jobs/policies.py
@@ -1,4 +1,4 @@
-"""Imports every placement policy, so that it is registered."""
+"""Imports all placement policies, which registers them."""
 
 from __future__ import annotations
 
--- a/heatherkeel/jobs/policy.py
+++ b/heatherkeel/jobs/policy.py
@@ -1,7 +1,6 @@
-"""Placement policies by name: functions from the folded state to the records of one round.
+"""Registry of placement policies: functions from the folded state to the records of one round.
 
-A policy only proposes. Whatever it overlooks or sees too late is refused by the fold, so a policy
-can be wrong without harm, and policies can be compared with each other.
+A policy only proposes placements; the fold checks each of them and refuses invalid ones.
 """
 
 from __future__ import annotations
@@ -22,10 +21,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RoundRequest:
-    """What one round may do; `pools` and `jobs` None mean all of them.
+    """Scope and limits of one round; None for `pools` or `jobs` means all of them.
 
-    `now_ms` is the placer's estimate of log time. The state's own time stands still while nobody
-    writes, and a job whose retry has become due would wait for the next record.
+    `now_ms` is the placer's estimate of log time. The state's time advances only with new
+    records, and retries that are due must not wait for the next one.
     """
 
     placer: str
@@ -37,14 +36,14 @@
 
 @dataclass(kw_only=True, slots=True)
 class PlacementRound:
-    """The records to append, in order, and how many jobs wait for which reason."""
+    """Records to append, in order, and the number of waiting jobs by reason."""
 
     records: list[RecordBody] = field(default_factory=list)
     placed: int = 0
     waiting: dict[str, int] = field(default_factory=dict)
 
     def wait(self, reason: str) -> None:
-        """Count one job that waits."""
+        """Count one waiting job."""
         self.waiting[reason] = self.waiting.get(reason, 0) + 1
 
 
@@ -65,7 +64,7 @@
 
 
 def placement(job_id: str, job: Job, instance_id: str, placer: str) -> JobPlace:
-    """Return the record that binds the next attempt of a job to a worker."""
+    """Return the record that assigns the next attempt of a job to a worker."""
     attempt = job.attempt + 1
     return JobPlace(
         job=job_id,
@@ -78,12 +77,12 @@
 
 
 def wanted_jobs(state: FleetState, request: RoundRequest) -> Mapping[str, Job]:
-    """Return the live jobs that a round looks at."""
+    """Return the live jobs in the scope of a round."""
     return state.jobs.live if request.jobs is None else request.jobs
 
 
 def due_jobs(state: FleetState, request: RoundRequest, planned: PlacementRound) -> dict[str, Job]:
-    """Return the queued jobs that may be placed now, and end those that never can be."""
+    """Return the queued jobs that can be placed now, and plan to end those that can never run."""
     queued = [
         (job_id, job)
         for job_id, job in wanted_jobs(state, request).items()
--- a/heatherkeel/jobs/preemption.py
+++ b/heatherkeel/jobs/preemption.py
@@ -1,4 +1,4 @@
-"""Makes room for urgent jobs: checkpoints the fewest and cheapest batch jobs of one worker."""
+"""Preempts batch jobs for urgent jobs: checkpoints the fewest and cheapest jobs of one worker."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Victim:
-    """A batch job that could be checkpointed; its memory is what the checkpoint costs."""
+    """A batch job that can be checkpointed; the cost of a checkpoint is its memory."""
 
     job_id: str
     team: str
@@ -27,15 +27,14 @@
 
 @dataclass(kw_only=True, slots=True)
 class Preemptions:
-    """The preemptions of one round; no worker and no victim is used twice."""
+    """Preemptions of one round; each worker and each victim is used at most once."""
 
     rooms: dict[str, PoolRooms]
     jobs: Mapping[str, Job]
     served: set[str]
-    """Jobs for which room is being made already.
+    """Urgent jobs with a preemption in progress.
 
-    A checkpoint takes longer than a round. Without this every round until its end would
-    checkpoint further jobs for the same urgent one.
+    A checkpoint takes longer than a round, and no further victims must be chosen meanwhile.
     """
     made: int = 0
     victims: dict[str, list[Victim]] | None = None
@@ -43,10 +42,10 @@
     def make_room(
         self, job_id: str, job: Job, need: Resources, *, quota_left: Resources | None
     ) -> list[JobCheckpoint]:
-        """Return the checkpoints that make room for one urgent job; none if there is no way.
+        """Return the checkpoints that free capacity for an urgent job; empty if impossible.
 
-        `quota_left` is given if the team's quota is short: then only its own jobs can make room,
-        and they have to free both the worker and the quota.
+        `quota_left` is given if the team's quota is exhausted. Then only jobs of the same team
+        are preempted, as they have to free both the worker and the quota.
         """
         if self.made >= MAX_PREEMPTIONS_PER_ROUND or job_id in self.served:
             return []
@@ -104,7 +103,7 @@
 def start_preemptions(
     state: FleetState, rooms: dict[str, PoolRooms], jobs: Mapping[str, Job]
 ) -> Preemptions:
-    """Return the preemptions of a new round."""
+    """Return the preemptions of a new round, with those still in progress."""
     holds = state.jobs.holds.values()
     served = {hold.job for hold in holds if hold.until_ms > state.now_ms}
     return Preemptions(rooms=rooms, jobs=jobs, served=served)
@@ -128,10 +127,10 @@
 
 
 def fewest_victims(victims: list[Victim], need: Resources, left: Resources) -> list[Victim]:
-    """Return as few victims as make room beside what is left, or none if all together don't.
+    """Return a small set of victims that frees enough capacity, or none if all don't suffice.
 
-    Largest first keeps them few; whoever then turns out not to be needed is let off, the
-    costliest first.
+    Greedy by memory, largest first; then victims that aren't needed are removed, also largest
+    first.
     """
     chosen: list[Victim] = []
     for victim in sorted(victims, key=lambda one: (-one.held.memory_mib, one.job_id)):
@@ -168,7 +167,7 @@
 
 
 def _left(room: Room, quota_left: Resources | None) -> Resources:
-    """Return what is left of a worker, and of the quota if that is short as well."""
+    """Return the free capacity of a worker, limited by the quota that is left if given."""
     limits = [room.left()] if quota_left is None else [room.left(), quota_left]
     return Resources(
         cpu_millicores=min(limit.cpu_millicores for limit in limits),
