--- a/heatherkeel/jobs/checks.py
+++ b/heatherkeel/jobs/checks.py
@@ -1,4 +1,4 @@
-"""Checkers of what must always hold for jobs."""
+"""Invariant checks for the state of jobs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @checks("non_idempotent_job_runs_at_most_once")
 def check_runs(state: FleetState) -> Iterator[Violation]:
-    """Find jobs of which more attempts may have run than the owner allowed."""
+    """Find jobs that aren't idempotent and may have run more often than allowed."""
     for job_id, job in state.jobs.live.items():
         if not job.spec.idempotent and job.runs > job.runs_allowed:
             detail = f"{job.runs} runs, {job.runs_allowed} allowed"
@@ -24,7 +24,7 @@
 
 @checks("no_accepted_job_vanishes")
 def check_jobs_kept(state: FleetState) -> Iterator[Violation]:
-    """Find out whether an accepted job is neither live, nor finished, nor forgotten in time."""
+    """Check that each accepted job is either live, finished or removed after its retention."""
     jobs = state.jobs
     kept = len(jobs.live) + len(jobs.finished) + jobs.forgotten
     if kept != jobs.accepted or sum(jobs.remembered.values()) + jobs.forgotten != jobs.accepted:
@@ -36,7 +36,7 @@
 
 @checks("job_status_matches_what_it_holds")
 def check_status(state: FleetState) -> Iterator[Violation]:
-    """Find jobs with a task that hold no worker, and queued ones that hold one."""
+    """Find jobs with a task but no reservation, queued jobs with one, and finished live jobs."""
     for job_id, job in state.jobs.live.items():
         holds = job.reserved is not None
         wrong = (job.status in HOLDING and not holds) or (job.status is JobStatus.QUEUED and holds)
@@ -47,7 +47,7 @@
 
 @checks("worker_capacity_holds_for_jobs")
 def check_capacity(state: FleetState) -> Iterator[Violation]:
-    """Find workers that have less than their tasks hold, or whose account is wrong."""
+    """Find workers that are overcommitted, or whose recorded load is wrong."""
     expected, _ = _recount(state)
     yield from _differences(state, "worker_capacity_holds_for_jobs", expected, state.jobs.loads)
     for instance_id, load in expected.items():
@@ -67,10 +67,9 @@
 
 @checks("team_usage_is_booked_rightly")
 def check_team_usage(state: FleetState) -> Iterator[Violation]:
-    """Find teams whose account differs from what their jobs hold.
+    """Find teams whose recorded usage differs from the reservations of their jobs.
 
-    A quota that an operator lowers below what runs ends no job, so the quota itself is checked
-    where a job is placed.
+    The quota isn't checked here, as an operator may lower it below the current usage.
     """
     _, expected = _recount(state)
     yield from _differences(state, "team_usage_is_booked_rightly", expected, state.jobs.teams)
@@ -78,7 +77,7 @@
 
 @checks("planned_stop_cuts_no_job")
 def check_planned_stops(state: FleetState) -> Iterator[Violation]:
-    """Find jobs whose instance was stopped on purpose under them."""
+    """Find active jobs on an instance that was stopped by a planned drain."""
     for job_id, job in state.jobs.live.items():
         if job.status not in HOLDING:
             continue
@@ -91,7 +90,7 @@
 
 
 def _recount(state: FleetState) -> tuple[dict[str, Load], dict[str, Load]]:
-    """Count anew what is held of workers and of quotas, from the jobs themselves."""
+    """Recompute the loads of workers and teams from the jobs."""
     loads: dict[str, Load] = {}
     teams: dict[str, Load] = {}
     for job_id, job in state.jobs.live.items():
--- a/heatherkeel/jobs/observing.py
+++ b/heatherkeel/jobs/observing.py
@@ -1,7 +1,6 @@
-"""Compares what the platform says of tasks with the fold: what to record, and what to ask again.
+"""Compares the platform's tasks with the fold: records to write and effects to repeat.
 
-Every entry instance can do this at any time. Nothing here depends on who placed a job, so a
-process that died between a record and its effect leaves nothing undone.
+Any entry instance can do this for any job, so the effects of a crashed process aren't lost.
 """
 
 from __future__ import annotations
@@ -42,14 +41,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Watched:
-    """A task that the fold still wants to know about; `job` is None for an abandoned one."""
+    """A task that the fold tracks; `job` is None if the task was abandoned."""
 
     job: Job | None
     instance: str
 
 
 def evidence_of(state: FleetState, views: Iterable[TaskView]) -> list[RecordBody]:
-    """Return the records of what the views prove beyond what the fold knows."""
+    """Return the records of what the views show and the fold doesn't know yet."""
     records: list[RecordBody] = []
     samples: list[UsageSample] = []
     for view in views:
@@ -74,11 +73,11 @@
     jobs: Mapping[str, Job] | None = None,
     now_ms: int = 0,
 ) -> list[TaskEffect]:
-    """Return the effects that the fold asked for and the platform doesn't show.
+    """Return the effects that the fold requested and the platform's views don't show.
 
-    The placer's own starts come from the fold at once; here they are repeated by anybody, after
-    a short grace. A start that was void by then ends as a proof that the task never ran.
-    `jobs` are those to look at; `now_ms` is the caller's estimate of log time.
+    A start is repeated by any process after a grace period for the placer. After its window it
+    is replaced by a stop, which proves that the task never ran.
+    `jobs` limits the jobs to check; `now_ms` is the caller's estimate of log time.
     """
     now_ms = max(now_ms, state.now_ms)
     effects: list[TaskEffect] = []
@@ -107,7 +106,7 @@
 
 
 def _evidence(view: TaskView, job: Job | None) -> RecordBody | None:
-    """Return what one view proves; `job` is None for a task that its job has given up on."""
+    """Return the record of what one view shows; `job` is None for an abandoned task."""
     match view.state:
         case TaskState.RUNNING:
             waits = job is not None and job.status in _WAITING
@@ -149,7 +148,7 @@
 
 
 def _uses_more(view: TaskView, job: Job) -> bool:
-    """Say whether usage rose enough for a record: the log takes few records a second."""
+    """Return whether usage rose enough for a record, to limit the load on the log."""
     step = job.peak_memory_mib * USAGE_STEP_PERCENT // 100
     if view.peak_memory_mib > job.peak_memory_mib + step:
         return True
@@ -185,7 +184,7 @@
     start = start_task(job_id, job)
     if now_ms <= start.not_after_ms:
         return start
-    # Past its window a start would be refused. Stopping it leaves the proof that it never ran;
-    # the wait is for views that lag, as a task that did start must not be stopped.
+    # After its window a start would be refused, and a stop proves that the task never ran. Views
+    # may lag, so wait before that: a task that did start must not be stopped.
     waited = now_ms > start.not_after_ms + VIEW_LAG_MS
     return stop_task(job_id, job) if waited else None
--- a/heatherkeel/jobs/placers.py
+++ b/heatherkeel/jobs/placers.py
@@ -1,7 +1,7 @@
-"""Which entry instance places the jobs of a pool, so that they don't all do the same work.
+"""Assigns the pools to entry instances, which place the pools' jobs.
 
-The choice only saves wasted records: any process may place any job at any time, and the fold
-takes the first placement of each version.
+The assignment only avoids duplicate records: any process may place any job, and the fold accepts
+the first placement of each version.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 @dataclass(kw_only=True)
 class PlacerOrder:
-    """The first two in line for each pool among the entry instances with a lease.
+    """The placer and the standby placer of each pool, by rendezvous hashing.
 
-    Rendezvous hashing: when an entry instance comes or goes, only its own pools change hands.
-    The order is kept until somebody comes or goes, as hashing all pairs takes long.
+    When an entry instance joins or leaves, only its own pools are reassigned. The order is cached
+    until then.
     """
 
     alive: frozenset[str] = frozenset()
     first_two: dict[str, tuple[str, ...]] = field(default_factory=dict)
 
     def refresh(self, state: FleetState, now_ms: int) -> None:
-        """Take in who has a lease at this log time."""
+        """Update the entry instances that have a valid lease at this log time."""
         alive = frozenset(
             instance_id
             for instance_id, entry in state.membership.entries.items()
@@ -39,7 +39,7 @@
             self.first_two = {}
 
     def of(self, pool: str) -> tuple[str, ...]:
-        """Return the first two in line for a pool, fewer if there are not as many."""
+        """Return the placer and the standby placer of a pool, as far as available."""
         found = self.first_two.get(pool)
         if found is None:
             ordered = sorted(self.alive, key=lambda instance_id: _weight(instance_id, pool))
@@ -48,10 +48,10 @@
         return found
 
     def jobs_in_turn(self, state: FleetState, instance_id: str, now_ms: int) -> dict[str, Job]:
-        """Return the live jobs of the pools that are this entry instance's turn.
+        """Return the live jobs of the pools that are assigned to this entry instance.
 
-        A placer that dies keeps its lease for a while, and urgent work can't wait for its end:
-        the second in line takes over a pool in which an urgent job has waited for long.
+        A crashed placer keeps its lease for a while. If an urgent job waits too long, the standby
+        placer takes over the pool as well.
         """
         self.refresh(state, now_ms)
         late = {
