--- a/heatherkeel/jobs/duty.py
+++ b/heatherkeel/jobs/duty.py
@@ -1,4 +1,4 @@
-"""The jobs duty of an entry process: places jobs, starts tasks, reports what becomes of them."""
+"""The jobs duty of an entry process: places jobs, starts tasks and records their results."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class JobsDuty:
-    """Works for the pools whose turn it is; keeps nothing that another process would miss."""
+    """Handles the jobs of the pools that are assigned to this process; has no durable state."""
 
     def __init__(self, *, node: Node) -> None:
         self.node = node
@@ -46,14 +46,14 @@
         self.views: dict[str, TaskView] = {}
         self.seen = 0
         self.pools: frozenset[str] = frozenset()
-        """Pools whose turn it was in the last round, also those taken over for urgent work."""
+        """Pools handled in the last round, including those taken over for urgent jobs."""
         self.waiting: dict[str, int] = {}
-        """Jobs that found no place in the last round, by reason."""
+        """Number of jobs that weren't placed in the last round, by reason."""
         self.limiter = trio.CapacityLimiter(MAX_CALLS)
         self.nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Hear the effects of the fold, and subscribe to the timer service."""
+        """Subscribe to the effects of the fold and to the timer service."""
         self.nursery = nursery
         self.node.subscribe(StartTask, self.hear_start)
         self.node.subscribe(StopTask, self.hear_other)
@@ -64,18 +64,18 @@
         )
 
     def hear_start(self, effect: StartTask) -> None:
-        """Start a task that this process placed, as soon as the fold has said so."""
+        """Start a task that this process placed."""
         if effect.placer == self.instance:
             self._begin(effect)
 
     def hear_other(self, effect: TaskEffect) -> None:
-        """Do what the fold asks of a task, if the pool of its worker is this process's turn."""
+        """Apply an effect to a task if its worker's pool is assigned to this process."""
         worker = self.node.state.fleet.pools.instances.get(effect.instance)
         if worker is not None and worker.pool in self.pools:
             self._begin(effect)
 
     async def async_round(self) -> None:
-        """See what changed, record it, place what waits, and repeat what was left undone."""
+        """Record changes of tasks, place waiting jobs and repeat effects that are still due."""
         await self.node.follower.caught_up.wait()
         fleet = self.node.state.fleet
         if not fleet.jobs.live and not fleet.jobs.orphans:
@@ -93,17 +93,21 @@
         await self._async_carry_out(due)
 
     async def _async_look(self) -> bool:
-        """Read the tasks that changed; without them nothing can be told of a task."""
+        """Read the tasks that changed; return False if the platform's list can't be read."""
         match await self.tasks.async_list(after=self.seen):
             case Ok(listed):
                 self._take_list(listed)
                 return True
             case Err(error):
-                _LOGGER.warning("tasks: %s", error.detail, extra={"event": "tasks_not_read"})
+                _LOGGER.warning(
+                    "reading the task list failed: %s",
+                    error.detail,
+                    extra={"event": "tasks_not_read"},
+                )
                 return False
 
     def _take_list(self, listed: TaskList) -> None:
-        # A count that went back is that of a platform that was restored: its views are new.
+        # A lower change count means that the platform was restored, so cached views are invalid.
         if listed.upto < self.seen:
             self.views = {}
         self.seen = listed.upto
@@ -112,17 +116,17 @@
             self.views = {task: view for task, view in self.views.items() if self._needs(view)}
 
     def _needs(self, view: TaskView) -> bool:
-        """Say whether a view may still tell something.
+        """Return whether a view may still be needed.
 
-        That of a task that can run is kept, also if its job isn't known here: the placement may
-        be a record that this process has yet to read.
+        Tasks that can run are kept even if their job is unknown, as this process may not have
+        read the placement yet.
         """
         if view.state in (TaskState.RUNNING, TaskState.LAPSED):
             return True
         return task_job(view.task) in self.node.state.fleet.jobs.live
 
     def _own_views(self, jobs: dict[str, Job]) -> list[TaskView]:
-        """Return the views of the own jobs and of tasks that were given up on."""
+        """Return the views of the given jobs and of abandoned tasks."""
         fleet = self.node.state.fleet
         wanted = [*_tasks_of(jobs), *fleet.jobs.orphans]
         return [self.views[task] for task in wanted if task in self.views]
@@ -140,12 +144,12 @@
         return [*planned.records, *plan_drains(fleet, request.jobs).records]
 
     def _still_live(self, jobs: dict[str, Job]) -> dict[str, Job]:
-        """Return those jobs as they are now; records of this round may have ended some."""
+        """Return the current state of the given jobs, without those that have finished."""
         live = self.node.state.fleet.jobs.live
         return {job_id: live[job_id] for job_id in jobs if job_id in live}
 
     async def _async_write(self, bodies: Iterable[RecordBody]) -> None:
-        """Write records together, and wait until the fold has decided them."""
+        """Write records concurrently, and wait until the fold has decided them."""
         async with trio.open_nursery() as nursery:
             for body in bodies:
                 nursery.start_soon(self._async_write_one, body)
@@ -163,16 +167,16 @@
                 nursery.start_soon(self._async_call, effect)
 
     async def _async_call(self, effect: TaskEffect) -> None:
-        """Make the call of one effect; if it fails, a later round finds it undone."""
+        """Make the platform call of one effect; a later round repeats it if it fails."""
         async with self.limiter:
             outcome = await self._async_ask(effect)
         match outcome:
             case Ok(view):
-                # The list may be newer than this answer, so it only fills a gap.
+                # A view from the list may be newer than this response, so don't replace it.
                 self.views.setdefault(view.task, view)
             case Err(error):
                 extra = {"event": "task_call_failed", "call": type(effect).__name__}
-                _LOGGER.warning("task call: %s", error.detail, extra=extra)
+                _LOGGER.warning("task call failed: %s", error.detail, extra=extra)
 
     async def _async_ask(self, effect: TaskEffect) -> Result[TaskView, PlatformError]:
         match effect:
