--- a/heatherkeel/jobs/best_fit.py
+++ b/heatherkeel/jobs/best_fit.py
@@ -9,10 +9,10 @@
 from heatherkeel.core.state import FleetState
 from heatherkeel.pools.models import Instance
 
-from .const import FIT_CANDIDATES, SPREAD_SLACK
+from .const import FIT_CANDIDATES, SPREAD_TOLERANCE
 from .fairness import FairQueue, fair_queue
 from .learning import expected_size, family_key
-from .models import HOLDING, Job, Resources, job_team
+from .models import ACTIVE_STATUSES, Job, Resources, job_team
 from .packing import PoolRooms, Room, find_rooms
 from .policy import PlacementRound, RoundRequest, due_jobs, placement, policy, wanted_jobs
 from .preemption import Preemptions, start_preemptions
@@ -140,8 +140,8 @@
     family = family_key(job_id, job)
     spread = this.spread
     total = spread.get((family, job.spec.pool), 0)
-    zone_limit = total // max(1, len(pool.zones)) + SPREAD_SLACK
-    rack_limit = total // max(1, len(pool.racks)) + SPREAD_SLACK
+    zone_limit = total // max(1, len(pool.zones)) + SPREAD_TOLERANCE
+    rack_limit = total // max(1, len(pool.racks)) + SPREAD_TOLERANCE
 
     def suits(room: Room) -> bool:
         return (
@@ -157,7 +157,7 @@
     """Count the tasks of each family by pool, availability zone and rack."""
     spread: dict[SpreadKey, int] = {}
     for job_id, job in jobs.items():
-        if job.status not in HOLDING:
+        if job.status not in ACTIVE_STATUSES:
             continue
         instance = state.pools.instances.get(job.instance)
         if instance is not None:
--- a/heatherkeel/jobs/checks.py
+++ b/heatherkeel/jobs/checks.py
@@ -9,7 +9,7 @@
 from heatherkeel.core.state import FleetState
 from heatherkeel.pools.models import InstanceStatus
 
-from .models import HOLDING, JobStatus, Load, Resources, job_team
+from .models import ACTIVE_STATUSES, JobStatus, Load, Resources, job_team
 from .reservations import capacity_of, overrun_of
 
 
@@ -39,7 +39,9 @@
     """Find jobs with a task but no reservation, queued jobs with one, and finished live jobs."""
     for job_id, job in state.jobs.live.items():
         holds = job.reserved is not None
-        wrong = (job.status in HOLDING and not holds) or (job.status is JobStatus.QUEUED and holds)
+        wrong = (job.status in ACTIVE_STATUSES and not holds) or (
+            job.status is JobStatus.QUEUED and holds
+        )
         if wrong or job.status in (JobStatus.SUCCEEDED, JobStatus.FAILED, JobStatus.CANCELLED):
             detail = f"{job.status}, holds: {holds}"
             yield _violation(state, "job_status_matches_what_it_holds", job_id, detail)
@@ -79,7 +81,7 @@
 def check_planned_stops(state: FleetState) -> Iterator[Violation]:
     """Find active jobs on an instance that was stopped by a planned drain."""
     for job_id, job in state.jobs.live.items():
-        if job.status not in HOLDING:
+        if job.status not in ACTIVE_STATUSES:
             continue
         instance = state.pools.instances.get(job.instance)
         drain = state.waves.drains.get(job.instance)
--- a/heatherkeel/jobs/const.py
+++ b/heatherkeel/jobs/const.py
@@ -19,10 +19,10 @@
 MAX_REMEMBERED_PER_TEAM: Final = 20_000
 """Maximum number of live and finished jobs per team, so that no team uses up the total."""
 
-FINISHED_MEMORY_MS: Final = 24 * 3_600_000
+FINISHED_RETENTION_MS: Final = 24 * 3_600_000
 """Retention of finished jobs; a resubmission within this time doesn't run the job again."""
 
-FORGET_INTERVAL_MS: Final = 60_000
+CLEANUP_INTERVAL_MS: Final = 60_000
 """Minimum time between two removals of expired state."""
 
 RETRY_BASE_MS: Final = 1_000
@@ -40,16 +40,16 @@
 HOLD_MS: Final = 5_000
 """How long a worker is held for the urgent job that a preemption frees capacity for."""
 
-QUARANTINE_EVIDENCE: Final = 3
+QUARANTINE_MIN_FAILED_JOBS: Final = 3
 """Number of different jobs that fail on a worker, without a success, before its quarantine."""
 
-EVIDENCE_WINDOW_MS: Final = 1_800_000
+FAILURE_WINDOW_MS: Final = 1_800_000
 """Failures older than this are no longer counted against a worker."""
 
 QUARANTINE_MS: Final = 600_000
 """Duration of a quarantine."""
 
-QUARANTINE_SHARE_PERCENT: Final = 10
+MAX_QUARANTINED_PERCENT: Final = 10
 """Maximum percentage of a pool's workers in quarantine at once; at least one worker."""
 
 QUARANTINE_MIN_POOL: Final = 3
@@ -82,35 +82,35 @@
 PREEMPTION_CANDIDATES: Final = 64
 """Number of workers that are compared as preemption candidates for one urgent job."""
 
-DRAIN_PATIENCE_MS: Final = 600_000
+MAX_DRAIN_WAIT_MS: Final = 600_000
 """A drain waits for jobs that are expected to end within this time and checkpoints the others."""
 
-SPREAD_SLACK: Final = 1
+SPREAD_TOLERANCE: Final = 1
 """Number of tasks of a family that a zone or rack may run above an even distribution."""
 
 START_GRACE_MS: Final = 2_000
 """Time that other processes wait for the placer to start a task before they start it."""
 
-CHECKPOINT_REPEAT_MS: Final = 2_000
+CHECKPOINT_RETRY_MS: Final = 2_000
 """Time after which a checkpoint request without a result is repeated."""
 
-USAGE_STEP_PERCENT: Final = 10
+USAGE_CHANGE_PERCENT: Final = 10
 """Increase of a task's peak usage after which it is reported again."""
 
-VIEW_LAG_MS: Final = 5_000
+MAX_VIEW_LAG_MS: Final = 5_000
 """Maximum assumed delay of the platform's view of a task."""
 
 MAX_PROGRAM_CHARS: Final = 2_000
 """Maximum length of a job's program, in characters."""
 
-TAKE_OVER_MS: Final = 1_000
+TAKEOVER_DELAY_MS: Final = 1_000
 """How long an urgent job waits before the standby placer places it as well."""
 
 ROUND_INTERVAL_MS: Final = 250
 """Interval between two rounds of the jobs duty."""
 
-MAX_CALLS: Final = 4
+MAX_CONCURRENT_CALLS: Final = 4
 """Maximum number of concurrent calls to the platform's task interface per process."""
 
-MAX_SPARE_VIEWS: Final = 1_000
+MAX_CACHED_VIEWS: Final = 1_000
 """Number of cached task views, beyond two per live job, above which unneeded ones are removed."""
--- a/heatherkeel/jobs/draining.py
+++ b/heatherkeel/jobs/draining.py
@@ -7,9 +7,9 @@
 
 from heatherkeel.core.state import FleetState
 
-from .const import DRAIN_PATIENCE_MS, MS_PER_S
+from .const import MAX_DRAIN_WAIT_MS, MS_PER_S
 from .learning import expected_run_time_s
-from .models import HOLDING, LEAVING, Job, JobStatus
+from .models import ACTIVE_STATUSES, DRAINING_STATUSES, Job, JobStatus
 from .records import CheckpointCause, JobCheckpoint
 
 
@@ -40,7 +40,7 @@
     draining = {
         instance_id
         for instance_id, instance in state.pools.instances.items()
-        if instance.status in LEAVING and instance_id in state.jobs.loads
+        if instance.status in DRAINING_STATUSES and instance_id in state.jobs.loads
     }
     if not draining:
         return plan
@@ -64,12 +64,12 @@
 def _why_wait(state: FleetState, job_id: str, job: Job) -> str:
     if job.status is JobStatus.UNKNOWN:
         return "not known whether its task still runs"
-    if job.status in HOLDING and job.status is not JobStatus.RUNNING:
+    if job.status in ACTIVE_STATUSES and job.status is not JobStatus.RUNNING:
         return f"{job.status}"
     if not job.spec.checkpointable:
         return "can't be checkpointed"
     remaining_ms = _remaining_ms(state, job_id, job)
-    if 0 < remaining_ms <= DRAIN_PATIENCE_MS:
+    if 0 < remaining_ms <= MAX_DRAIN_WAIT_MS:
         return f"expected to end in {remaining_ms // MS_PER_S} s"
     return ""
 
--- a/heatherkeel/jobs/duty.py
+++ b/heatherkeel/jobs/duty.py
@@ -15,7 +15,7 @@
 from heatherkeel.fleetlog.task_client import TaskClient
 from heatherkeel.fleetlog.tasks import TaskList, TaskRequest, TaskState, TaskView, ThrottleRequest
 
-from .const import MAX_CALLS, MAX_SPARE_VIEWS, ROUND_INTERVAL_MS
+from .const import MAX_CACHED_VIEWS, MAX_CONCURRENT_CALLS, ROUND_INTERVAL_MS
 from .draining import plan_drains
 from .models import (
     CheckpointTask,
@@ -24,8 +24,8 @@
     StopTask,
     TaskEffect,
     ThrottleTask,
-    task_job,
-    task_of,
+    job_id_of_task,
+    latest_task_id,
 )
 from .observing import effects_due, evidence_of
 from .placers import PlacerOrder
@@ -49,7 +49,7 @@
         """Pools handled in the last round, including those taken over for urgent jobs."""
         self.waiting: dict[str, int] = {}
         """Number of jobs that weren't placed in the last round, by reason."""
-        self.limiter = trio.CapacityLimiter(MAX_CALLS)
+        self.limiter = trio.CapacityLimiter(MAX_CONCURRENT_CALLS)
         self.nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -112,7 +112,7 @@
             self.views = {}
         self.seen = listed.upto
         self.views.update({view.task: view for view in listed.tasks})
-        if len(self.views) > MAX_SPARE_VIEWS + 2 * len(self.node.state.fleet.jobs.live):
+        if len(self.views) > MAX_CACHED_VIEWS + 2 * len(self.node.state.fleet.jobs.live):
             self.views = {task: view for task, view in self.views.items() if self._needs(view)}
 
     def _needs(self, view: TaskView) -> bool:
@@ -123,7 +123,7 @@
         """
         if view.state in (TaskState.RUNNING, TaskState.LAPSED):
             return True
-        return task_job(view.task) in self.node.state.fleet.jobs.live
+        return job_id_of_task(view.task) in self.node.state.fleet.jobs.live
 
     def _own_views(self, jobs: dict[str, Job]) -> list[TaskView]:
         """Return the views of the given jobs and of abandoned tasks."""
@@ -192,7 +192,7 @@
 
 
 def _tasks_of(jobs: dict[str, Job]) -> Iterable[str]:
-    return (task_of(job_id, job) for job_id, job in jobs.items() if job.attempt)
+    return (latest_task_id(job_id, job) for job_id, job in jobs.items() if job.attempt)
 
 
 def _start_request(effect: StartTask) -> TaskRequest:
--- a/heatherkeel/jobs/models.py
+++ b/heatherkeel/jobs/models.py
@@ -39,11 +39,11 @@
     CANCELLED = "cancelled"
 
 
-HOLDING: Final = (JobStatus.PLACED, JobStatus.RUNNING, JobStatus.CHECKPOINTING)
+ACTIVE_STATUSES: Final = (JobStatus.PLACED, JobStatus.RUNNING, JobStatus.CHECKPOINTING)
 """Statuses in which a job occupies its worker."""
 
 
-LEAVING: Final = (InstanceStatus.DRAINING, InstanceStatus.QUIESCED)
+DRAINING_STATUSES: Final = (InstanceStatus.DRAINING, InstanceStatus.QUIESCED)
 """Statuses of a worker in a planned stop or move that waits for its tasks."""
 
 
@@ -203,12 +203,12 @@
     return f"{job_id}:{job.submitted_offset}:{attempt}"
 
 
-def task_of(job_id: str, job: Job) -> str:
+def latest_task_id(job_id: str, job: Job) -> str:
     """Return the task id of the latest attempt."""
     return task_id(job_id, job, job.attempt)
 
 
-def task_job(task: str) -> str:
+def job_id_of_task(task: str) -> str:
     """Return the job id that a task id contains."""
     return task.rsplit(":", 2)[0]
 
--- a/heatherkeel/jobs/observing.py
+++ b/heatherkeel/jobs/observing.py
@@ -12,15 +12,21 @@
 from heatherkeel.core.state import FleetState
 from heatherkeel.fleetlog.tasks import ReportedExit, TaskState, TaskView
 
-from .const import CHECKPOINT_REPEAT_MS, MAX_BATCH, START_GRACE_MS, USAGE_STEP_PERCENT, VIEW_LAG_MS
+from .const import (
+    CHECKPOINT_RETRY_MS,
+    MAX_BATCH,
+    MAX_VIEW_LAG_MS,
+    START_GRACE_MS,
+    USAGE_CHANGE_PERCENT,
+)
 from .models import (
-    HOLDING,
+    ACTIVE_STATUSES,
     Job,
     JobStatus,
     StopTask,
     TaskEffect,
-    task_job,
-    task_of,
+    job_id_of_task,
+    latest_task_id,
 )
 from .placing import start_task
 from .records import (
@@ -84,7 +90,7 @@
     for job_id, job in (state.jobs.live if jobs is None else jobs).items():
         if job.status is JobStatus.QUEUED:
             continue
-        effect = _effect_due(now_ms, views.get(task_of(job_id, job)), placer, job_id, job)
+        effect = _effect_due(now_ms, views.get(latest_task_id(job_id, job)), placer, job_id, job)
         if effect is not None:
             effects.append(effect)
     for task, orphan in state.jobs.orphans.items():
@@ -98,9 +104,9 @@
     orphan = state.jobs.orphans.get(task)
     if orphan is not None:
         return _Watched(job=None, instance=orphan.instance)
-    job_id = task_job(task)
+    job_id = job_id_of_task(task)
     job = state.jobs.live.get(job_id)
-    if job is None or job.status is JobStatus.QUEUED or task_of(job_id, job) != task:
+    if job is None or job.status is JobStatus.QUEUED or latest_task_id(job_id, job) != task:
         return None
     return _Watched(job=job, instance=job.instance)
 
@@ -122,7 +128,7 @@
         case TaskState.ENDED:
             return _ended(view)
         case TaskState.LAPSED:
-            if job is None or job.status not in HOLDING:
+            if job is None or job.status not in ACTIVE_STATUSES:
                 return None
             return _lost(view, job.version, LossEvidence.LEASE_LAPSED)
         case TaskState.GONE:
@@ -149,10 +155,10 @@
 
 def _uses_more(view: TaskView, job: Job) -> bool:
     """Return whether usage rose enough for a record, to limit the load on the log."""
-    step = job.peak_memory_mib * USAGE_STEP_PERCENT // 100
+    step = job.peak_memory_mib * USAGE_CHANGE_PERCENT // 100
     if view.peak_memory_mib > job.peak_memory_mib + step:
         return True
-    step = job.peak_cpu_millicores * USAGE_STEP_PERCENT // 100
+    step = job.peak_cpu_millicores * USAGE_CHANGE_PERCENT // 100
     return view.cpu_millicores > job.peak_cpu_millicores + step
 
 
@@ -171,7 +177,7 @@
     running = view is not None and view.state is TaskState.RUNNING
     if job.cancelling and (view is None or running):
         return stop_task(job_id, job)
-    if job.status is JobStatus.CHECKPOINTING and running and since_ms >= CHECKPOINT_REPEAT_MS:
+    if job.status is JobStatus.CHECKPOINTING and running and since_ms >= CHECKPOINT_RETRY_MS:
         return checkpoint_task(job_id, job)
     if view is not None or job.started_ms > 0:
         return None
@@ -186,5 +192,5 @@
         return start
     # After its window a start would be refused, and a stop proves that the task never ran. Views
     # may lag, so wait before that: a task that did start must not be stopped.
-    waited = now_ms > start.not_after_ms + VIEW_LAG_MS
+    waited = now_ms > start.not_after_ms + MAX_VIEW_LAG_MS
     return stop_task(job_id, job) if waited else None
--- a/heatherkeel/jobs/placers.py
+++ b/heatherkeel/jobs/placers.py
@@ -12,7 +12,7 @@
 from heatherkeel.catalogue.models import ServiceClass
 from heatherkeel.core.state import FleetState
 
-from .const import TAKE_OVER_MS
+from .const import TAKEOVER_DELAY_MS
 from .models import Job, JobStatus
 
 
@@ -70,7 +70,7 @@
     urgent = job.spec.service_class is ServiceClass.URGENT
     if not urgent or job.status not in (JobStatus.QUEUED, JobStatus.PLACED):
         return False
-    return now_ms - max(job.changed_ms, job.not_before_ms) > TAKE_OVER_MS
+    return now_ms - max(job.changed_ms, job.not_before_ms) > TAKEOVER_DELAY_MS
 
 
 def _weight(instance_id: str, pool: str) -> bytes:
--- a/heatherkeel/jobs/placing.py
+++ b/heatherkeel/jobs/placing.py
@@ -12,14 +12,14 @@
 
 from .const import HOLD_MS, START_WINDOW_MS
 from .models import (
-    LEAVING,
+    DRAINING_STATUSES,
     Hold,
     Job,
     JobStatus,
     StartTask,
     job_team,
+    latest_task_id,
     task_id,
-    task_of,
 )
 from .quarantine import is_quarantined
 from .records import CheckpointCause, JobCheckpoint, JobPlace
@@ -71,7 +71,7 @@
     """
     assert job.reserved is not None
     return StartTask(
-        task=task_of(job_id, job),
+        task=latest_task_id(job_id, job),
         job=job_id,
         instance=job.instance,
         placer=job.placer,
@@ -172,6 +172,6 @@
 
 def _check_drain(state: FleetState, job: Job) -> Rejected | None:
     instance = state.pools.instances.get(job.instance)
-    if instance is None or instance.status not in LEAVING:
+    if instance is None or instance.status not in DRAINING_STATUSES:
         return Rejected(reason=RejectReason.WRONG_STATE, detail=f"{job.instance} is not draining")
     return None
--- a/heatherkeel/jobs/quarantine.py
+++ b/heatherkeel/jobs/quarantine.py
@@ -9,11 +9,11 @@
 from heatherkeel.core.state import FleetState
 
 from .const import (
-    EVIDENCE_WINDOW_MS,
-    QUARANTINE_EVIDENCE,
+    FAILURE_WINDOW_MS,
+    MAX_QUARANTINED_PERCENT,
+    QUARANTINE_MIN_FAILED_JOBS,
     QUARANTINE_MIN_POOL,
     QUARANTINE_MS,
-    QUARANTINE_SHARE_PERCENT,
 )
 from .models import Job, WorkerRecord
 
@@ -35,7 +35,7 @@
     record = state.jobs.workers.setdefault(instance_id, WorkerRecord())
     record.failed_jobs[job_id] = state.now_ms
     _drop_old(record, state.now_ms)
-    if len(record.failed_jobs) < QUARANTINE_EVIDENCE:
+    if len(record.failed_jobs) < QUARANTINE_MIN_FAILED_JOBS:
         return
     if is_quarantined(state, instance_id) or not _pool_can_spare(state, instance_id):
         return
@@ -57,7 +57,7 @@
         if record is None:
             continue
         record.failed_jobs.pop(job_id, None)
-        if len(record.failed_jobs) < QUARANTINE_EVIDENCE:
+        if len(record.failed_jobs) < QUARANTINE_MIN_FAILED_JOBS:
             record.quarantined_until_ms = 0
         if not record.failed_jobs:
             del state.jobs.workers[instance_id]
@@ -67,7 +67,7 @@
     record.failed_jobs = {
         job_id: at_ms
         for job_id, at_ms in record.failed_jobs.items()
-        if at_ms + EVIDENCE_WINDOW_MS > now_ms
+        if at_ms + FAILURE_WINDOW_MS > now_ms
     }
 
 
@@ -84,4 +84,4 @@
     if len(members) < QUARANTINE_MIN_POOL:
         return False
     quarantined = sum(is_quarantined(state, name) for name in members)
-    return quarantined < max(1, len(members) * QUARANTINE_SHARE_PERCENT // 100)
+    return quarantined < max(1, len(members) * MAX_QUARANTINED_PERCENT // 100)
--- a/heatherkeel/jobs/records.py
+++ b/heatherkeel/jobs/records.py
@@ -13,7 +13,7 @@
 from heatherkeel.pools.models import InstanceId
 
 from .const import MAX_BATCH
-from .models import JobId, JobSpec, TaskId, task_job
+from .models import JobId, JobSpec, TaskId, job_id_of_task
 
 JobIds = Annotated[tuple[JobId, ...], Meta(min_length=1, max_length=MAX_BATCH)]
 ShortText = Annotated[str, Meta(max_length=200)]
@@ -114,7 +114,7 @@
     @property
     def job(self) -> str:
         """Return the job that the task belongs to."""
-        return task_job(self.task)
+        return job_id_of_task(self.task)
 
 
 class TaskStarted(TaskRecord, frozen=True, kw_only=True):
--- a/heatherkeel/jobs/reservations.py
+++ b/heatherkeel/jobs/reservations.py
@@ -9,7 +9,7 @@
 
 from .const import MILLICORES_PER_CPU
 from .learning import expected_size
-from .models import Job, Load, Orphan, Resources, job_team, task_of
+from .models import Job, Load, Orphan, Resources, job_team, latest_task_id
 
 
 def capacity_of(instance: Instance) -> Resources:
@@ -136,7 +136,7 @@
     """
     if job.reserved is None:
         return
-    task = task_of(job_id, job)
+    task = latest_task_id(job_id, job)
     state.jobs.orphans[task] = Orphan(job=job_id, instance=job.instance, reserved=job.reserved)
     state.jobs.loads[job.instance].overrun_mib -= overrun_of(job)
     _unbook(state.jobs.teams, job_team(job_id), job.reserved)
--- a/heatherkeel/jobs/tasks.py
+++ b/heatherkeel/jobs/tasks.py
@@ -13,7 +13,7 @@
 from heatherkeel.core.state import FleetState
 
 from .learning import learn
-from .models import HOLDING, Job, JobChanged, JobStatus, StopTask, task_of
+from .models import ACTIVE_STATUSES, Job, JobChanged, JobStatus, StopTask, latest_task_id
 from .quarantine import note_failure, note_success
 from .records import (
     LossEvidence,
@@ -39,7 +39,7 @@
     wrong_state,
 )
 
-_ATTACHED = (*HOLDING, JobStatus.UNKNOWN)
+_ATTACHED = (*ACTIVE_STATUSES, JobStatus.UNKNOWN)
 
 
 @handles("jobs.started", TaskStarted)
@@ -53,7 +53,11 @@
     job = state.jobs.live.get(body.job)
     if job is None:
         return Err(not_found(body.job))
-    if body.task != task_of(body.job, job) or job.status not in _ATTACHED or job.reserved is None:
+    if (
+        body.task != latest_task_id(body.job, job)
+        or job.status not in _ATTACHED
+        or job.reserved is None
+    ):
         return Err(wrong_state(body.job, job))
     if job.status in (JobStatus.RUNNING, JobStatus.CHECKPOINTING):
         return Ok(accepted(job.version))
@@ -74,7 +78,7 @@
     job = state.jobs.live.get(body.job)
     if job is None:
         return Err(not_found(body.job))
-    if body.task != task_of(body.job, job) or job.status not in _ATTACHED:
+    if body.task != latest_task_id(body.job, job) or job.status not in _ATTACHED:
         return Err(wrong_state(body.job, job))
     note_usage(state, job, memory_mib=body.peak_memory_mib, cpu_millicores=body.cpu_millicores)
     return Ok(_end_attempt(state, meta, body, job))
@@ -84,7 +88,11 @@
     """Release an abandoned task; its success counts if no newer attempt has been placed."""
     drop_orphan(state, body.task)
     job = state.jobs.live.get(body.job)
-    if job is None or job.status is not JobStatus.QUEUED or body.task != task_of(body.job, job):
+    if (
+        job is None
+        or job.status is not JobStatus.QUEUED
+        or body.task != latest_task_id(body.job, job)
+    ):
         return accepted(0)
     if body.exit is not TaskExit.SUCCEEDED:
         return accepted(job.version)
@@ -138,7 +146,7 @@
     if job is None:
         return Err(not_found(body.job))
     waiting = job.status in (JobStatus.PLACED, JobStatus.UNKNOWN)
-    if body.task != task_of(body.job, job) or not waiting or job.started_ms > 0:
+    if body.task != latest_task_id(body.job, job) or not waiting or job.started_ms > 0:
         return Err(wrong_state(body.job, job))
     give_back(state, body.job, job)
     changed = after_start_failure(state, body.job, job, meta, "proved not to have started")
@@ -157,7 +165,11 @@
     job = state.jobs.live.get(body.job)
     if job is None:
         return Err(not_found(body.job))
-    if body.task != task_of(body.job, job) or job.status not in _ATTACHED or job.reserved is None:
+    if (
+        body.task != latest_task_id(body.job, job)
+        or job.status not in _ATTACHED
+        or job.reserved is None
+    ):
         return Err(wrong_state(body.job, job))
     if body.saved:
         job.checkpoint = body.task
@@ -196,7 +208,9 @@
     if job.version != body.expected_version:
         return Err(stale(body.job, job))
     still_holds = job.status is JobStatus.UNKNOWN and gone and job.reserved is not None
-    if body.task != task_of(body.job, job) or not (job.status in HOLDING or still_holds):
+    if body.task != latest_task_id(body.job, job) or not (
+        job.status in ACTIVE_STATUSES or still_holds
+    ):
         return Err(wrong_state(body.job, job))
     if gone:
         give_back(state, body.job, job)
--- a/heatherkeel/jobs/transitions.py
+++ b/heatherkeel/jobs/transitions.py
@@ -10,8 +10,8 @@
 from heatherkeel.core.state import FleetState
 
 from .const import (
-    FINISHED_MEMORY_MS,
-    FORGET_INTERVAL_MS,
+    CLEANUP_INTERVAL_MS,
+    FINISHED_RETENTION_MS,
     MAX_START_FAILURES,
     RETRY_BASE_MS,
     RETRY_MAX_MS,
@@ -25,7 +25,7 @@
     JobStatus,
     StopTask,
     job_team,
-    task_of,
+    latest_task_id,
 )
 from .reservations import drop_orphan, give_back
 
@@ -140,12 +140,12 @@
 
 def stop_task(job_id: str, job: Job) -> StopTask:
     """Return the effect that stops the latest attempt of a job."""
-    return StopTask(task=task_of(job_id, job), job=job_id, instance=job.instance)
+    return StopTask(task=latest_task_id(job_id, job), job=job_id, instance=job.instance)
 
 
 def checkpoint_task(job_id: str, job: Job) -> CheckpointTask:
     """Return the effect that checkpoints and stops the latest attempt of a job."""
-    return CheckpointTask(task=task_of(job_id, job), job=job_id, instance=job.instance)
+    return CheckpointTask(task=latest_task_id(job_id, job), job=job_id, instance=job.instance)
 
 
 def accepted(version: int, *effects: Effect) -> Accepted:
@@ -159,7 +159,7 @@
     This depends on log time only, so it may precede a record that is then refused.
     """
     jobs = state.jobs
-    if now_ms - jobs.forgot_ms < FORGET_INTERVAL_MS:
+    if now_ms - jobs.forgot_ms < CLEANUP_INTERVAL_MS:
         return
     jobs.forgot_ms = now_ms
     for job_id in [key for key, job in jobs.finished.items() if _is_old(job, now_ms)]:
@@ -173,7 +173,7 @@
 
 
 def _is_old(job: FinishedJob, now_ms: int) -> bool:
-    return job.ended_ms + FINISHED_MEMORY_MS <= now_ms
+    return job.ended_ms + FINISHED_RETENTION_MS <= now_ms
 
 
 def _forget_job(state: FleetState, job_id: str) -> None:
--- a/heatherkeel/jobs/usage.py
+++ b/heatherkeel/jobs/usage.py
@@ -9,7 +9,7 @@
 from heatherkeel.core.registry import handles
 from heatherkeel.core.state import FleetState
 
-from .models import HOLDING, Job, ThrottleTask, task_job, task_of
+from .models import ACTIVE_STATUSES, Job, ThrottleTask, job_id_of_task, latest_task_id
 from .records import UsageReport, UsageSample
 from .reservations import capacity_of, note_usage
 
@@ -22,10 +22,14 @@
     effects: list[Effect] = []
     taken = 0
     for sample in body.samples:
-        job_id = task_job(sample.task)
+        job_id = job_id_of_task(sample.task)
         job = state.jobs.live.get(job_id)
         # A delayed sample of an earlier attempt must not count against the current worker.
-        if job is None or job.status not in HOLDING or task_of(job_id, job) != sample.task:
+        if (
+            job is None
+            or job.status not in ACTIVE_STATUSES
+            or latest_task_id(job_id, job) != sample.task
+        ):
             continue
         taken += 1
         note_usage(
@@ -48,7 +52,7 @@
         return []
     throttle = ThrottleTask(
         task=sample.task,
-        job=task_job(sample.task),
+        job=job_id_of_task(sample.task),
         instance=job.instance,
         cpu_millicores=job.reserved.cpu_millicores,
     )
--- a/tests/jobs/conftest.py
+++ b/tests/jobs/conftest.py
@@ -19,7 +19,7 @@
 from heatherkeel.core.reducer import fold
 from heatherkeel.core.registry import find_violations
 from heatherkeel.core.state import FleetState
-from heatherkeel.jobs.models import Job, JobSpec, JobStatus, Resources, task_id, task_of
+from heatherkeel.jobs.models import Job, JobSpec, JobStatus, Resources, latest_task_id, task_id
 from heatherkeel.jobs.records import JobPlace, JobSubmit, TaskEnded, TaskExit, TaskStarted
 from heatherkeel.membership.models import EntryJoin
 from heatherkeel.pools.models import InstanceAdmit, InstanceStatus
@@ -137,7 +137,7 @@
         return live.status if live is not None else self.state.jobs.finished[job_id].status
 
     def task(self, job_id: str = JOB) -> str:
-        return task_of(job_id, self.job(job_id))
+        return latest_task_id(job_id, self.job(job_id))
 
     def submit(self, job_id: str = JOB, spec: JobSpec | None = None) -> None:
         self.accept(JobSubmit(job=job_id, team=TEAM, spec=spec or spec_of()))
--- a/tests/jobs/test_reducer.py
+++ b/tests/jobs/test_reducer.py
@@ -7,7 +7,7 @@
 from heatherkeel.catalogue.models import TeamEntry
 from heatherkeel.core.models import RejectReason
 from heatherkeel.core.registry import find_violations
-from heatherkeel.jobs.const import FINISHED_MEMORY_MS
+from heatherkeel.jobs.const import FINISHED_RETENTION_MS
 from heatherkeel.jobs.models import JobStatus, StartTask, StopTask, ThrottleTask
 from heatherkeel.jobs.records import (
     JobCancel,
@@ -49,7 +49,7 @@
     # the old task; under the same task id the new job would count as done without a run.
     old = fleet.run("w0")
     fleet.end(old)
-    fleet.now_ms += FINISHED_MEMORY_MS
+    fleet.now_ms += FINISHED_RETENTION_MS
     fleet.submit("sheetal:other")
     assert JOB not in fleet.state.jobs.finished
     fleet.submit()
