--- a/heatherkeel/jobs/placing.py
+++ b/heatherkeel/jobs/placing.py
@@ -28,9 +28,9 @@
     accepted,
     checkpoint_task,
     may_run_again,
-    move,
     not_found,
-    stale,
+    set_status,
+    stale_version,
     wrong_state,
 )
 
@@ -41,9 +41,9 @@
     job = state.jobs.live.get(body.job)
     if job is None:
         return Err(not_found(body.job))
-    refusal = _check_job(meta, body, job) or _check_worker(state, body, job)
-    if refusal is not None:
-        return Err(refusal)
+    rejection = _check_job(meta, body, job) or _check_worker(state, body, job)
+    if rejection is not None:
+        return Err(rejection)
     team = job_team(body.job)
     quota = quota_of(state, team)
     if quota is None:
@@ -56,7 +56,7 @@
     _begin_attempt(job, body)
     if state.jobs.holds.get(body.instance, _NO_HOLD).job == body.job:
         del state.jobs.holds[body.instance]
-    changed = move(body.job, job, meta, JobStatus.PLACED)
+    changed = set_status(body.job, job, meta, JobStatus.PLACED)
     return Ok(accepted(job.version, changed, start_task(body.job, job)))
 
 
@@ -89,7 +89,7 @@
     accepted, or each of them would start the job.
     """
     if job.version != body.expected_version:
-        return stale(body.job, job)
+        return stale_version(body.job, job)
     if job.status is not JobStatus.QUEUED or job.cancelling:
         return wrong_state(body.job, job)
     if body.attempt != job.attempt + 1 or body.task != task_id(body.job, job, body.attempt):
@@ -138,20 +138,20 @@
     if job is None:
         return Err(not_found(body.job))
     if job.version != body.expected_version:
-        return Err(stale(body.job, job))
+        return Err(stale_version(body.job, job))
     running = job.status is JobStatus.RUNNING and job.attempt == body.attempt
     if not running or not job.spec.checkpointable:
         return Err(wrong_state(body.job, job))
     if body.cause is CheckpointCause.URGENT:
-        refusal = _check_preemption(state, body, job)
+        rejection = _check_preemption(state, body, job)
     else:
-        refusal = _check_drain(state, job)
-    if refusal is not None:
-        return Err(refusal)
+        rejection = _check_drain(state, job)
+    if rejection is not None:
+        return Err(rejection)
     if body.cause is CheckpointCause.URGENT:
         hold = Hold(job=body.for_job, until_ms=meta.now_ms + HOLD_MS)
         state.jobs.holds[job.instance] = hold
-    changed = move(body.job, job, meta, JobStatus.CHECKPOINTING, f"for {body.cause}")
+    changed = set_status(body.job, job, meta, JobStatus.CHECKPOINTING, f"for {body.cause}")
     return Ok(accepted(job.version, changed, checkpoint_task(body.job, job)))
 
 
--- a/heatherkeel/jobs/reducer.py
+++ b/heatherkeel/jobs/reducer.py
@@ -17,12 +17,12 @@
 from .reservations import abandon, quota_of
 from .transitions import (
     accepted,
-    finish,
-    forget_old,
+    finish_job,
     not_found,
+    remove_expired,
     requeue,
     spec_digest,
-    stale,
+    stale_version,
     stop_task,
     wrong_state,
 )
@@ -31,15 +31,15 @@
 @handles("jobs.submit", JobSubmit)
 def submit_job(state: FleetState, meta: RecordMeta, body: JobSubmit) -> Result[Accepted, Rejected]:
     """Accept a new job, or answer a resubmission with the existing one."""
-    forget_old(state, meta.now_ms)
+    remove_expired(state, meta.now_ms)
     if job_team(body.job) != body.team:
         return Err(Rejected(reason=RejectReason.NOT_OWNER, detail=body.job))
-    known = _find_same(state, body)
-    if known is not None:
-        return known
-    refusal = _check_new(state, meta, body)
-    if refusal is not None:
-        return Err(refusal)
+    existing = _find_existing(state, body)
+    if existing is not None:
+        return existing
+    rejection = _check_new(state, meta, body)
+    if rejection is not None:
+        return Err(rejection)
     state.jobs.live[body.job] = Job(
         spec=body.spec,
         submitted_ms=meta.now_ms,
@@ -52,7 +52,7 @@
     return Ok(accepted(1, changed))
 
 
-def _find_same(state: FleetState, body: JobSubmit) -> Result[Accepted, Rejected] | None:
+def _find_existing(state: FleetState, body: JobSubmit) -> Result[Accepted, Rejected] | None:
     """Return the outcome for a job id that already exists, or None for a new one.
 
     An owner that didn't receive the answer submits again, possibly much later; the job must not
@@ -108,7 +108,7 @@
     could submit it again while the first run continues.
     """
     if job.status is JobStatus.QUEUED:
-        return finish(state, job_id, job, meta, JobStatus.CANCELLED, "cancelled while queued")
+        return finish_job(state, job_id, job, meta, JobStatus.CANCELLED, "cancelled while queued")
     job.cancelling = True
     job.version += 1
     job.changed_ms = meta.now_ms
@@ -126,14 +126,14 @@
     if job is None:
         return Err(not_found(body.job))
     if job.version != body.expected_version:
-        return Err(stale(body.job, job))
+        return Err(stale_version(body.job, job))
     if job.status is not JobStatus.UNKNOWN:
         return Err(wrong_state(body.job, job))
     stop = stop_task(body.job, job)
     abandon(state, body.job, job)
     if body.resolution is Resolution.GIVE_UP:
         reason = "given up by its owner while unknown"
-        changed = finish(state, body.job, job, meta, JobStatus.FAILED, reason)
+        changed = finish_job(state, body.job, job, meta, JobStatus.FAILED, reason)
         return Ok(accepted(job.version, changed, stop))
     job.runs_allowed += 1
     job.cancelling = False
@@ -157,7 +157,7 @@
     for job_id, job in queued.items():
         reason = why_never(state, shapes, job_id, job)
         if reason:
-            effects.append(finish(state, job_id, job, meta, JobStatus.FAILED, reason))
+            effects.append(finish_job(state, job_id, job, meta, JobStatus.FAILED, reason))
     if not effects:
         return Err(Rejected(reason=RejectReason.CONFLICT, detail="all of them may still run"))
     return Ok(accepted(0, *effects))
--- a/heatherkeel/jobs/tasks.py
+++ b/heatherkeel/jobs/tasks.py
@@ -27,23 +27,23 @@
 from .reservations import abandon, drop_orphan, give_back, note_usage
 from .transitions import (
     accepted,
-    after_failure,
-    after_start_failure,
-    finish,
+    finish_job,
     may_run_again,
-    move,
     not_found,
     requeue,
-    stale,
+    retry_after_failure,
+    retry_after_start_failure,
+    set_status,
+    stale_version,
     stop_task,
     wrong_state,
 )
 
-_ATTACHED = (*ACTIVE_STATUSES, JobStatus.UNKNOWN)
+_STATUSES_WITH_TASK = (*ACTIVE_STATUSES, JobStatus.UNKNOWN)
 
 
 @handles("jobs.started", TaskStarted)
-def task_started(
+def handle_task_started(
     state: FleetState, meta: RecordMeta, body: TaskStarted
 ) -> Result[Accepted, Rejected]:
     """Mark an attempt as running; stop its task if it was abandoned or is being cancelled."""
@@ -55,36 +55,38 @@
         return Err(not_found(body.job))
     if (
         body.task != latest_task_id(body.job, job)
-        or job.status not in _ATTACHED
+        or job.status not in _STATUSES_WITH_TASK
         or job.reserved is None
     ):
         return Err(wrong_state(body.job, job))
     if job.status in (JobStatus.RUNNING, JobStatus.CHECKPOINTING):
         return Ok(accepted(job.version))
     job.started_ms = job.started_ms or meta.now_ms
-    effects: list[Effect] = [move(body.job, job, meta, JobStatus.RUNNING)]
+    effects: list[Effect] = [set_status(body.job, job, meta, JobStatus.RUNNING)]
     if job.cancelling:
         effects.append(stop_task(body.job, job))
     return Ok(accepted(job.version, *effects))
 
 
 @handles("jobs.ended", TaskEnded)
-def task_ended(state: FleetState, meta: RecordMeta, body: TaskEnded) -> Result[Accepted, Rejected]:
+def handle_task_ended(
+    state: FleetState, meta: RecordMeta, body: TaskEnded
+) -> Result[Accepted, Rejected]:
     """Finish the job or queue a further attempt after its task ended."""
     if body.exit is TaskExit.SUCCEEDED and not body.ran:
         return Err(Rejected(reason=RejectReason.MALFORMED, detail="succeeded, but did not run"))
     if body.task in state.jobs.orphans:
-        return Ok(_orphan_ended(state, meta, body))
+        return Ok(_end_orphan(state, meta, body))
     job = state.jobs.live.get(body.job)
     if job is None:
         return Err(not_found(body.job))
-    if body.task != latest_task_id(body.job, job) or job.status not in _ATTACHED:
+    if body.task != latest_task_id(body.job, job) or job.status not in _STATUSES_WITH_TASK:
         return Err(wrong_state(body.job, job))
     note_usage(state, job, memory_mib=body.peak_memory_mib, cpu_millicores=body.cpu_millicores)
     return Ok(_end_attempt(state, meta, body, job))
 
 
-def _orphan_ended(state: FleetState, meta: RecordMeta, body: TaskEnded) -> Accepted:
+def _end_orphan(state: FleetState, meta: RecordMeta, body: TaskEnded) -> Accepted:
     """Release an abandoned task; its success counts if no newer attempt has been placed."""
     drop_orphan(state, body.task)
     job = state.jobs.live.get(body.job)
@@ -97,7 +99,7 @@
     if body.exit is not TaskExit.SUCCEEDED:
         return accepted(job.version)
     reason = "succeeded after its lease had lapsed"
-    changed = finish(state, body.job, job, meta, JobStatus.SUCCEEDED, reason)
+    changed = finish_job(state, body.job, job, meta, JobStatus.SUCCEEDED, reason)
     return accepted(changed.version, changed)
 
 
@@ -107,35 +109,35 @@
     learn(state, body.job, job, meta.now_ms)
     if body.exit is TaskExit.SUCCEEDED:
         note_success(state, instance)
-        changed = finish(state, body.job, job, meta, JobStatus.SUCCEEDED)
+        changed = finish_job(state, body.job, job, meta, JobStatus.SUCCEEDED)
         return accepted(changed.version, changed)
     if body.exit in (TaskExit.FAILED, TaskExit.REFUSED):
         note_failure(state, body.job, job, instance)
     reason = f"{body.exit} on {instance} {body.detail}".rstrip()
     # A task that was reported as running did run, even if a later report denies it.
     if not body.ran and job.started_ms == 0:
-        changed = after_start_failure(state, body.job, job, meta, reason)
+        changed = retry_after_start_failure(state, body.job, job, meta, reason)
         return accepted(changed.version, changed)
-    changed = _after_run(state, meta, body, job, reason)
+    changed = _finish_or_retry(state, meta, body, job, reason)
     return accepted(changed.version, changed)
 
 
-def _after_run(
+def _finish_or_retry(
     state: FleetState, meta: RecordMeta, body: TaskEnded, job: Job, reason: str
 ) -> JobChanged:
     """Cancel, fail or retry a job after an attempt that ran and didn't succeed."""
     if job.cancelling:
-        return finish(state, body.job, job, meta, JobStatus.CANCELLED, reason)
+        return finish_job(state, body.job, job, meta, JobStatus.CANCELLED, reason)
     if not body.retryable:
-        return finish(state, body.job, job, meta, JobStatus.FAILED, reason)
+        return finish_job(state, body.job, job, meta, JobStatus.FAILED, reason)
     if not may_run_again(job):
-        words = f"{reason}; not idempotent, so it is not run again"
-        return finish(state, body.job, job, meta, JobStatus.FAILED, words)
-    return after_failure(state, body.job, job, meta, reason)
+        full_reason = f"{reason}; not idempotent, so it is not run again"
+        return finish_job(state, body.job, job, meta, JobStatus.FAILED, full_reason)
+    return retry_after_failure(state, body.job, job, meta, reason)
 
 
 @handles("jobs.not_started", TaskProvedNotStarted)
-def task_not_started(
+def handle_task_not_started(
     state: FleetState, meta: RecordMeta, body: TaskProvedNotStarted
 ) -> Result[Accepted, Rejected]:
     """Queue a job again after the platform proved that its task will never start."""
@@ -145,16 +147,16 @@
     job = state.jobs.live.get(body.job)
     if job is None:
         return Err(not_found(body.job))
-    waiting = job.status in (JobStatus.PLACED, JobStatus.UNKNOWN)
-    if body.task != latest_task_id(body.job, job) or not waiting or job.started_ms > 0:
+    is_pending = job.status in (JobStatus.PLACED, JobStatus.UNKNOWN)
+    if body.task != latest_task_id(body.job, job) or not is_pending or job.started_ms > 0:
         return Err(wrong_state(body.job, job))
     give_back(state, body.job, job)
-    changed = after_start_failure(state, body.job, job, meta, "proved not to have started")
+    changed = retry_after_start_failure(state, body.job, job, meta, "proved not to have started")
     return Ok(accepted(changed.version, changed))
 
 
 @handles("jobs.checkpointed", TaskCheckpointed)
-def task_checkpointed(
+def handle_task_checkpointed(
     state: FleetState, meta: RecordMeta, body: TaskCheckpointed
 ) -> Result[Accepted, Rejected]:
     """Record a checkpoint, and queue the job again if its task stopped."""
@@ -167,36 +169,38 @@
         return Err(not_found(body.job))
     if (
         body.task != latest_task_id(body.job, job)
-        or job.status not in _ATTACHED
+        or job.status not in _STATUSES_WITH_TASK
         or job.reserved is None
     ):
         return Err(wrong_state(body.job, job))
     if body.saved:
         job.checkpoint = body.task
     if body.stopped:
-        return Ok(_stopped_at_checkpoint(state, meta, body, job))
+        return Ok(_end_at_checkpoint(state, meta, body, job))
     if job.status is JobStatus.RUNNING:
         return Ok(accepted(job.version))
     job.started_ms = job.started_ms or meta.now_ms
-    changed = move(body.job, job, meta, JobStatus.RUNNING, "checkpoint did not stop it")
+    changed = set_status(body.job, job, meta, JobStatus.RUNNING, "checkpoint did not stop it")
     return Ok(accepted(changed.version, changed))
 
 
-def _stopped_at_checkpoint(
+def _end_at_checkpoint(
     state: FleetState, meta: RecordMeta, body: TaskCheckpointed, job: Job
 ) -> Accepted:
     give_back(state, body.job, job)
     if job.cancelling:
-        changed = finish(state, body.job, job, meta, JobStatus.CANCELLED, "stopped")
+        changed = finish_job(state, body.job, job, meta, JobStatus.CANCELLED, "stopped")
     elif body.saved:
         changed = requeue(state, body.job, job, meta, wait_ms=0, reason="checkpointed")
     else:
-        changed = _lost_for_good(state, meta, body.job, job, "stopped without a checkpoint")
+        changed = _retry_or_mark_unknown(state, meta, body.job, job, "stopped without a checkpoint")
     return accepted(changed.version, changed)
 
 
 @handles("jobs.lost", TaskLost)
-def task_lost(state: FleetState, meta: RecordMeta, body: TaskLost) -> Result[Accepted, Rejected]:
+def handle_task_lost(
+    state: FleetState, meta: RecordMeta, body: TaskLost
+) -> Result[Accepted, Rejected]:
     """Handle a task whose lease has expired or that the platform can't run any more."""
     gone = body.evidence is LossEvidence.TASK_GONE
     if body.task in state.jobs.orphans and gone:
@@ -206,32 +210,32 @@
     if job is None:
         return Err(not_found(body.job))
     if job.version != body.expected_version:
-        return Err(stale(body.job, job))
-    still_holds = job.status is JobStatus.UNKNOWN and gone and job.reserved is not None
+        return Err(stale_version(body.job, job))
+    holds_worker = job.status is JobStatus.UNKNOWN and gone and job.reserved is not None
     if body.task != latest_task_id(body.job, job) or not (
-        job.status in ACTIVE_STATUSES or still_holds
+        job.status in ACTIVE_STATUSES or holds_worker
     ):
         return Err(wrong_state(body.job, job))
     if gone:
         give_back(state, body.job, job)
         reason = f"gone with {job.instance}"
-        changed = _lost_for_good(state, meta, body.job, job, reason)
+        changed = _retry_or_mark_unknown(state, meta, body.job, job, reason)
         return Ok(accepted(changed.version, changed))
-    changed = _lease_lapsed(state, meta, body.job, job)
+    changed = _handle_expired_lease(state, meta, body.job, job)
     return Ok(accepted(changed.version, changed))
 
 
-def _lost_for_good(
+def _retry_or_mark_unknown(
     state: FleetState, meta: RecordMeta, job_id: str, job: Job, reason: str
 ) -> JobChanged:
     """Retry a job whose task can't run any more, or mark it unknown if it must not run twice."""
     if may_run_again(job):
-        return after_failure(state, job_id, job, meta, reason)
-    words = f"{reason}: it may have run, and is not idempotent"
-    return move(job_id, job, meta, JobStatus.UNKNOWN, words)
+        return retry_after_failure(state, job_id, job, meta, reason)
+    full_reason = f"{reason}: it may have run, and is not idempotent"
+    return set_status(job_id, job, meta, JobStatus.UNKNOWN, full_reason)
 
 
-def _lease_lapsed(state: FleetState, meta: RecordMeta, job_id: str, job: Job) -> JobChanged:
+def _handle_expired_lease(state: FleetState, meta: RecordMeta, job_id: str, job: Job) -> JobChanged:
     """Retry an idempotent job whose lease has expired, or mark any other job as unknown.
 
     The worker may be partitioned with the task still running, so a second attempt could run at
@@ -240,6 +244,6 @@
     if job.spec.idempotent:
         reason = f"lease lapsed on {job.instance}"
         abandon(state, job_id, job)
-        return after_failure(state, job_id, job, meta, reason)
-    words = f"lease lapsed on {job.instance}: it may have run, or be running"
-    return move(job_id, job, meta, JobStatus.UNKNOWN, words)
+        return retry_after_failure(state, job_id, job, meta, reason)
+    full_reason = f"lease lapsed on {job.instance}: it may have run, or be running"
+    return set_status(job_id, job, meta, JobStatus.UNKNOWN, full_reason)
--- a/heatherkeel/jobs/transitions.py
+++ b/heatherkeel/jobs/transitions.py
@@ -48,7 +48,7 @@
     return Rejected(reason=RejectReason.WRONG_STATE, detail=detail, version=job.version)
 
 
-def stale(job_id: str, job: Job) -> Rejected:
+def stale_version(job_id: str, job: Job) -> Rejected:
     """Return the rejection of a record that is based on an outdated version of the job."""
     return Rejected(reason=RejectReason.STALE_VERSION, detail=job_id, version=job.version)
 
@@ -58,7 +58,7 @@
     return job.spec.idempotent or bool(job.checkpoint) or job.runs < job.runs_allowed
 
 
-def move(
+def set_status(
     job_id: str, job: Job, meta: RecordMeta, status: JobStatus, reason: str = ""
 ) -> JobChanged:
     """Set the status of a job and return the effect that reports it."""
@@ -71,7 +71,7 @@
     )
 
 
-def finish(
+def finish_job(
     state: FleetState,
     job_id: str,
     job: Job,
@@ -81,7 +81,7 @@
 ) -> JobChanged:
     """Finish a job and keep a summary of it for queries and resubmissions."""
     give_back(state, job_id, job)
-    changed = move(job_id, job, meta, status, reason)
+    changed = set_status(job_id, job, meta, status, reason)
     del state.jobs.live[job_id]
     state.jobs.finished[job_id] = FinishedJob(
         spec_digest=spec_digest(job.spec),
@@ -100,23 +100,23 @@
     """Queue a job again; the caller has released or abandoned its reservation."""
     job.not_before_ms = meta.now_ms + wait_ms
     job.instance = ""
-    return move(job_id, job, meta, JobStatus.QUEUED, reason)
+    return set_status(job_id, job, meta, JobStatus.QUEUED, reason)
 
 
-def after_failure(
+def retry_after_failure(
     state: FleetState, job_id: str, job: Job, meta: RecordMeta, reason: str
 ) -> JobChanged:
     """Retry a job after an attempt that ran or may have run, unless its limit is reached."""
     job.failures += 1
     if job.cancelling:
-        return finish(state, job_id, job, meta, JobStatus.CANCELLED, reason)
+        return finish_job(state, job_id, job, meta, JobStatus.CANCELLED, reason)
     if job.failures >= job.spec.max_attempts:
-        words = f"attempt {job.failures} of {job.spec.max_attempts}: {reason}"
-        return finish(state, job_id, job, meta, JobStatus.FAILED, words)
+        full_reason = f"attempt {job.failures} of {job.spec.max_attempts}: {reason}"
+        return finish_job(state, job_id, job, meta, JobStatus.FAILED, full_reason)
     return requeue(state, job_id, job, meta, wait_ms=backoff_ms(job.failures), reason=reason)
 
 
-def after_start_failure(
+def retry_after_start_failure(
     state: FleetState, job_id: str, job: Job, meta: RecordMeta, reason: str
 ) -> JobChanged:
     """Retry a job after an attempt that is known not to have run, unless its limit is reached."""
@@ -124,10 +124,10 @@
     if not job.resumed:
         job.runs -= 1
     if job.cancelling:
-        return finish(state, job_id, job, meta, JobStatus.CANCELLED, reason)
+        return finish_job(state, job_id, job, meta, JobStatus.CANCELLED, reason)
     if job.start_failures >= MAX_START_FAILURES:
-        words = f"not started in {job.start_failures} tries: {reason}"
-        return finish(state, job_id, job, meta, JobStatus.FAILED, words)
+        full_reason = f"not started in {job.start_failures} tries: {reason}"
+        return finish_job(state, job_id, job, meta, JobStatus.FAILED, full_reason)
     wait_ms = backoff_ms(job.start_failures)
     return requeue(state, job_id, job, meta, wait_ms=wait_ms, reason=reason)
 
@@ -153,7 +153,7 @@
     return Accepted(version=version, effects=effects)
 
 
-def forget_old(state: FleetState, now_ms: int) -> None:
+def remove_expired(state: FleetState, now_ms: int) -> None:
     """Remove expired finished jobs and holds, and entries of workers that no longer exist.
 
     This depends on log time only, so it may precede a record that is then refused.
@@ -162,8 +162,8 @@
     if now_ms - jobs.forgot_ms < CLEANUP_INTERVAL_MS:
         return
     jobs.forgot_ms = now_ms
-    for job_id in [key for key, job in jobs.finished.items() if _is_old(job, now_ms)]:
-        _forget_job(state, job_id)
+    for job_id in [key for key, job in jobs.finished.items() if _is_expired(job, now_ms)]:
+        _remove_finished_job(state, job_id)
     jobs.holds = {key: hold for key, hold in jobs.holds.items() if hold.until_ms > now_ms}
     present = state.pools.instances
     jobs.workers = {key: record for key, record in jobs.workers.items() if key in present}
@@ -172,11 +172,11 @@
         drop_orphan(state, task)
 
 
-def _is_old(job: FinishedJob, now_ms: int) -> bool:
+def _is_expired(job: FinishedJob, now_ms: int) -> bool:
     return job.ended_ms + FINISHED_RETENTION_MS <= now_ms
 
 
-def _forget_job(state: FleetState, job_id: str) -> None:
+def _remove_finished_job(state: FleetState, job_id: str) -> None:
     del state.jobs.finished[job_id]
     state.jobs.forgotten += 1
     team = job_team(job_id)
--- a/heatherkeel/jobs/usage.py
+++ b/heatherkeel/jobs/usage.py
@@ -15,12 +15,12 @@
 
 
 @handles("jobs.usage", UsageReport)
-def report_usage(
+def apply_usage_report(
     state: FleetState, meta: RecordMeta, body: UsageReport
 ) -> Result[Accepted, Rejected]:
     """Record the peak usage of current attempts; samples of older attempts are ignored."""
     effects: list[Effect] = []
-    taken = 0
+    applied = 0
     for sample in body.samples:
         job_id = job_id_of_task(sample.task)
         job = state.jobs.live.get(job_id)
@@ -31,12 +31,12 @@
             or latest_task_id(job_id, job) != sample.task
         ):
             continue
-        taken += 1
+        applied += 1
         note_usage(
             state, job, memory_mib=sample.peak_memory_mib, cpu_millicores=sample.cpu_millicores
         )
         effects += _throttle(state, sample, job)
-    if taken == 0:
+    if applied == 0:
         return Err(Rejected(reason=RejectReason.NOT_FOUND, detail="no attempt that still runs"))
     return Ok(Accepted(effects=tuple(effects)))
 
