--- a/heatherkeel/jobs/checks.py
+++ b/heatherkeel/jobs/checks.py
@@ -10,7 +10,7 @@
 from heatherkeel.pools.models import InstanceStatus
 
 from .models import ACTIVE_STATUSES, JobStatus, Load, Resources, job_team
-from .reservations import capacity_of, overrun_of
+from .reservations import capacity_of, memory_overrun
 
 
 @checks("non_idempotent_job_runs_at_most_once")
@@ -98,7 +98,7 @@
     for job_id, job in state.jobs.live.items():
         if job.reserved is None:
             continue
-        _add(loads.setdefault(job.instance, Load()), job.reserved, overrun_of(job))
+        _add(loads.setdefault(job.instance, Load()), job.reserved, memory_overrun(job))
         _add(teams.setdefault(job_team(job_id), Load()), job.reserved, 0)
     for orphan in state.jobs.orphans.values():
         _add(loads.setdefault(orphan.instance, Load()), orphan.reserved, 0)
--- a/heatherkeel/jobs/feasibility.py
+++ b/heatherkeel/jobs/feasibility.py
@@ -23,7 +23,7 @@
     return shapes
 
 
-def why_never(state: FleetState, shapes: PoolShapes, job_id: str, job: Job) -> str:
+def permanent_obstacle(state: FleetState, shapes: PoolShapes, job_id: str, job: Job) -> str:
     """Return why a queued job can never run, or an empty string if it may run later.
 
     Only the declared size counts, as learned sizes are estimates. An empty pool is no reason,
--- a/heatherkeel/jobs/learning.py
+++ b/heatherkeel/jobs/learning.py
@@ -20,7 +20,7 @@
     return f"{job_team(job_id)}:{job.spec.family}"
 
 
-def learn(state: FleetState, job_id: str, job: Job, now_ms: int) -> None:
+def update_family_usage(state: FleetState, job_id: str, job: Job, now_ms: int) -> None:
     """Add the measured usage of an attempt that just ended to its family."""
     if job.peak_memory_mib == 0 and job.peak_cpu_millicores == 0:
         return
@@ -30,9 +30,11 @@
         del families[min(families, key=lambda name: (families[name].updated_ms, name))]
     usage = families.setdefault(key, FamilyUsage(updated_ms=now_ms))
     usage.updated_ms = now_ms
-    _push(usage.memory_mib, job.peak_memory_mib)
-    _push(usage.cpu_millicores, job.peak_cpu_millicores)
-    _push(usage.run_time_s, max(0, now_ms - job.started_ms) // MS_PER_S if job.started_ms else 0)
+    _append_sample(usage.memory_mib, job.peak_memory_mib)
+    _append_sample(usage.cpu_millicores, job.peak_cpu_millicores)
+    _append_sample(
+        usage.run_time_s, max(0, now_ms - job.started_ms) // MS_PER_S if job.started_ms else 0
+    )
 
 
 def expected_size(state: FleetState, job_id: str, job: Job) -> Resources:
@@ -60,7 +62,7 @@
     return _percentile(usage.run_time_s)
 
 
-def _push(samples: list[int], value: int) -> None:
+def _append_sample(samples: list[int], value: int) -> None:
     samples.append(value)
     del samples[:-FAMILY_SAMPLES]
 
--- a/heatherkeel/jobs/packing.py
+++ b/heatherkeel/jobs/packing.py
@@ -11,7 +11,7 @@
 
 from .models import Resources
 from .quarantine import is_quarantined
-from .reservations import capacity_of, free_of, held_for
+from .reservations import capacity_of, free_resources, held_for
 
 _PER_MILLE = 1_000
 _NOTHING = Resources()
@@ -135,7 +135,7 @@
         if instance.status is not InstanceStatus.SERVING or is_quarantined(state, instance_id):
             continue
         capacity = capacity_of(instance)
-        free = free_of(capacity, state.jobs.loads.get(instance_id))
+        free = free_resources(capacity, state.jobs.loads.get(instance_id))
         room = Room(
             instance=instance_id,
             zone=instance.zone,
--- a/heatherkeel/jobs/placing.py
+++ b/heatherkeel/jobs/placing.py
@@ -23,7 +23,7 @@
 )
 from .quarantine import is_quarantined
 from .records import CheckpointCause, JobCheckpoint, JobPlace
-from .reservations import find_shortage, held_for, need_of, quota_of, take
+from .reservations import find_shortage, held_for, quota_of, required_resources, reserve
 from .transitions import (
     accepted,
     checkpoint_task,
@@ -48,11 +48,11 @@
     quota = quota_of(state, team)
     if quota is None:
         return Err(Rejected(reason=RejectReason.QUOTA, detail=f"team {team} has no entry"))
-    need = need_of(state, body.job, job, state.pools.instances[body.instance], quota)
+    need = required_resources(state, body.job, job, state.pools.instances[body.instance], quota)
     shortage = find_shortage(state, team, quota, body.instance, need)
     if shortage is not None:
         return Err(shortage)
-    take(state, body.job, job, body.instance, need)
+    reserve(state, body.job, job, body.instance, need)
     _begin_attempt(job, body)
     if state.jobs.holds.get(body.instance, _NO_HOLD).job == body.job:
         del state.jobs.holds[body.instance]
--- a/heatherkeel/jobs/policy.py
+++ b/heatherkeel/jobs/policy.py
@@ -14,7 +14,7 @@
 from heatherkeel.core.state import FleetState
 
 from .const import MAX_BATCH, MAX_PLACEMENTS_PER_ROUND
-from .feasibility import pool_shapes, why_never
+from .feasibility import permanent_obstacle, pool_shapes
 from .models import Job, JobStatus, task_id
 from .records import JobPlace, JobUnplaceable
 
@@ -98,7 +98,7 @@
     for job_id, job in queued:
         if job.not_before_ms > now_ms:
             planned.wait("retry_not_due")
-        elif why_never(state, shapes, job_id, job):
+        elif permanent_obstacle(state, shapes, job_id, job):
             never.append(job_id)
         else:
             due[job_id] = job
--- a/heatherkeel/jobs/quarantine.py
+++ b/heatherkeel/jobs/quarantine.py
@@ -24,30 +24,30 @@
     return record is not None and record.quarantined_until_ms > state.now_ms
 
 
-def note_failure(state: FleetState, job_id: str, job: Job, instance_id: str) -> None:
+def record_failure(state: FleetState, job_id: str, job: Job, instance_id: str) -> None:
     """Count a failed attempt against its worker, unless the job also failed on other workers."""
-    elsewhere = [name for name in job.failed_on if name != instance_id]
+    other_workers = [name for name in job.failed_on if name != instance_id]
     if instance_id not in job.failed_on:
         job.failed_on.append(instance_id)
-    if elsewhere:
-        _withdraw(state, job_id, elsewhere)
+    if other_workers:
+        _remove_evidence(state, job_id, other_workers)
         return
     record = state.jobs.workers.setdefault(instance_id, WorkerRecord())
     record.failed_jobs[job_id] = state.now_ms
-    _drop_old(record, state.now_ms)
+    _remove_old_failures(record, state.now_ms)
     if len(record.failed_jobs) < QUARANTINE_MIN_FAILED_JOBS:
         return
-    if is_quarantined(state, instance_id) or not _pool_can_spare(state, instance_id):
+    if is_quarantined(state, instance_id) or not _is_quarantine_allowed(state, instance_id):
         return
     record.quarantined_until_ms = state.now_ms + QUARANTINE_MS
 
 
-def note_success(state: FleetState, instance_id: str) -> None:
+def record_success(state: FleetState, instance_id: str) -> None:
     """Clear the record of a worker on which a job succeeded."""
     state.jobs.workers.pop(instance_id, None)
 
 
-def _withdraw(state: FleetState, job_id: str, instance_ids: list[str]) -> None:
+def _remove_evidence(state: FleetState, job_id: str, instance_ids: list[str]) -> None:
     """Remove the failures of a job that fails on several workers, and end their quarantines.
 
     Otherwise a broken release of one team would quarantine a part of the pool.
@@ -63,7 +63,7 @@
             del state.jobs.workers[instance_id]
 
 
-def _drop_old(record: WorkerRecord, now_ms: int) -> None:
+def _remove_old_failures(record: WorkerRecord, now_ms: int) -> None:
     record.failed_jobs = {
         job_id: at_ms
         for job_id, at_ms in record.failed_jobs.items()
@@ -71,7 +71,7 @@
     }
 
 
-def _pool_can_spare(state: FleetState, instance_id: str) -> bool:
+def _is_quarantine_allowed(state: FleetState, instance_id: str) -> bool:
     """Return whether another worker of the pool may be quarantined.
 
     A fault outside of the workers, such as a broken library, makes all of them fail; the limit
--- a/heatherkeel/jobs/reducer.py
+++ b/heatherkeel/jobs/reducer.py
@@ -11,10 +11,10 @@
 
 from . import checks, placing, tasks, usage  # noqa: F401
 from .const import MAX_REMEMBERED_JOBS, MAX_REMEMBERED_PER_TEAM
-from .feasibility import pool_shapes, why_never
+from .feasibility import permanent_obstacle, pool_shapes
 from .models import Job, JobChanged, JobStatus, job_team
 from .records import JobCancel, JobResolve, JobSubmit, JobUnplaceable, Resolution
-from .reservations import abandon, quota_of
+from .reservations import abandon_task, quota_of
 from .transitions import (
     accepted,
     finish_job,
@@ -130,7 +130,7 @@
     if job.status is not JobStatus.UNKNOWN:
         return Err(wrong_state(body.job, job))
     stop = stop_task(body.job, job)
-    abandon(state, body.job, job)
+    abandon_task(state, body.job, job)
     if body.resolution is Resolution.GIVE_UP:
         reason = "given up by its owner while unknown"
         changed = finish_job(state, body.job, job, meta, JobStatus.FAILED, reason)
@@ -155,7 +155,7 @@
     shapes = pool_shapes(state, {job.spec.pool for job in queued.values()})
     effects: list[Effect] = []
     for job_id, job in queued.items():
-        reason = why_never(state, shapes, job_id, job)
+        reason = permanent_obstacle(state, shapes, job_id, job)
         if reason:
             effects.append(finish_job(state, job_id, job, meta, JobStatus.FAILED, reason))
     if not effects:
--- a/heatherkeel/jobs/reservations.py
+++ b/heatherkeel/jobs/reservations.py
@@ -33,7 +33,7 @@
     )
 
 
-def free_of(capacity: Resources, load: Load | None) -> Resources:
+def free_resources(capacity: Resources, load: Load | None) -> Resources:
     """Return the free resources, at least 0 each."""
     if load is None:
         return capacity
@@ -44,12 +44,12 @@
     )
 
 
-def fits(need: Resources, room: Resources) -> bool:
+def fits(need: Resources, available: Resources) -> bool:
     """Return whether the available resources cover a need."""
     return (
-        need.cpu_millicores <= room.cpu_millicores
-        and need.memory_mib <= room.memory_mib
-        and need.accelerators <= room.accelerators
+        need.cpu_millicores <= available.cpu_millicores
+        and need.memory_mib <= available.memory_mib
+        and need.accelerators <= available.accelerators
     )
 
 
@@ -79,7 +79,7 @@
     return max(declared, min(expected, limit))
 
 
-def need_of(
+def required_resources(
     state: FleetState, job_id: str, job: Job, instance: Instance, quota: Resources
 ) -> Resources:
     """Return the resources that an attempt would reserve on this worker."""
@@ -94,10 +94,10 @@
 
     Checked in the fold, so that two racing placers can't both use the same free capacity.
     """
-    if not fits(need, free_of(quota, state.jobs.teams.get(team))):
+    if not fits(need, free_resources(quota, state.jobs.teams.get(team))):
         return Rejected(reason=RejectReason.QUOTA, detail=f"team {team} has no quota left")
     capacity = capacity_of(state.pools.instances[instance_id])
-    if not fits(need, free_of(capacity, state.jobs.loads.get(instance_id))):
+    if not fits(need, free_resources(capacity, state.jobs.loads.get(instance_id))):
         return Rejected(reason=RejectReason.IN_USE, detail=f"{instance_id} has no room")
     return None
 
@@ -110,25 +110,25 @@
     return hold.job
 
 
-def take(state: FleetState, job_id: str, job: Job, instance_id: str, need: Resources) -> None:
+def reserve(state: FleetState, job_id: str, job: Job, instance_id: str, need: Resources) -> None:
     """Reserve resources for a job on a worker and in the quota of its team."""
     job.instance = instance_id
     job.reserved = need
-    _book(state.jobs.loads, instance_id, need)
-    _book(state.jobs.teams, job_team(job_id), need)
+    _add_reservation(state.jobs.loads, instance_id, need)
+    _add_reservation(state.jobs.teams, job_team(job_id), need)
 
 
-def give_back(state: FleetState, job_id: str, job: Job) -> None:
+def release(state: FleetState, job_id: str, job: Job) -> None:
     """Release the reservation of the latest attempt, whose task can't run any more."""
     if job.reserved is None:
         return
-    state.jobs.loads[job.instance].overrun_mib -= overrun_of(job)
-    _unbook(state.jobs.loads, job.instance, job.reserved)
-    _unbook(state.jobs.teams, job_team(job_id), job.reserved)
+    state.jobs.loads[job.instance].overrun_mib -= memory_overrun(job)
+    _remove_reservation(state.jobs.loads, job.instance, job.reserved)
+    _remove_reservation(state.jobs.teams, job_team(job_id), job.reserved)
     job.reserved = None
 
 
-def abandon(state: FleetState, job_id: str, job: Job) -> None:
+def abandon_task(state: FleetState, job_id: str, job: Job) -> None:
     """Abandon a task that may still run: release the team's quota, but not the worker.
 
     A partitioned worker can come back with the task running. With its capacity reassigned, the
@@ -138,34 +138,34 @@
         return
     task = latest_task_id(job_id, job)
     state.jobs.orphans[task] = Orphan(job=job_id, instance=job.instance, reserved=job.reserved)
-    state.jobs.loads[job.instance].overrun_mib -= overrun_of(job)
-    _unbook(state.jobs.teams, job_team(job_id), job.reserved)
+    state.jobs.loads[job.instance].overrun_mib -= memory_overrun(job)
+    _remove_reservation(state.jobs.teams, job_team(job_id), job.reserved)
     job.reserved = None
 
 
-def drop_orphan(state: FleetState, task: str) -> None:
+def release_orphan(state: FleetState, task: str) -> None:
     """Release the reservation of an abandoned task that can't run any more."""
     orphan = state.jobs.orphans.pop(task)
-    _unbook(state.jobs.loads, orphan.instance, orphan.reserved)
+    _remove_reservation(state.jobs.loads, orphan.instance, orphan.reserved)
 
 
-def note_usage(state: FleetState, job: Job, *, memory_mib: int, cpu_millicores: int) -> None:
+def record_usage(state: FleetState, job: Job, *, memory_mib: int, cpu_millicores: int) -> None:
     """Record measured usage; memory used beyond the reservation isn't available to other jobs."""
-    before = overrun_of(job)
+    before = memory_overrun(job)
     job.peak_memory_mib = max(job.peak_memory_mib, memory_mib)
     job.peak_cpu_millicores = max(job.peak_cpu_millicores, cpu_millicores)
     if job.reserved is not None:
-        state.jobs.loads[job.instance].overrun_mib += overrun_of(job) - before
+        state.jobs.loads[job.instance].overrun_mib += memory_overrun(job) - before
 
 
-def overrun_of(job: Job) -> int:
+def memory_overrun(job: Job) -> int:
     """Return the memory in MiB that an attempt used beyond its reservation."""
     if job.reserved is None:
         return 0
     return max(0, job.peak_memory_mib - job.reserved.memory_mib)
 
 
-def _book(loads: dict[str, Load], key: str, need: Resources) -> None:
+def _add_reservation(loads: dict[str, Load], key: str, need: Resources) -> None:
     load = loads.setdefault(key, Load())
     load.cpu_millicores += need.cpu_millicores
     load.memory_mib += need.memory_mib
@@ -173,7 +173,7 @@
     load.tasks += 1
 
 
-def _unbook(loads: dict[str, Load], key: str, need: Resources) -> None:
+def _remove_reservation(loads: dict[str, Load], key: str, need: Resources) -> None:
     load = loads[key]
     load.cpu_millicores -= need.cpu_millicores
     load.memory_mib -= need.memory_mib
--- a/heatherkeel/jobs/tasks.py
+++ b/heatherkeel/jobs/tasks.py
@@ -12,9 +12,9 @@
 from heatherkeel.core.registry import handles
 from heatherkeel.core.state import FleetState
 
-from .learning import learn
+from .learning import update_family_usage
 from .models import ACTIVE_STATUSES, Job, JobChanged, JobStatus, StopTask, latest_task_id
-from .quarantine import note_failure, note_success
+from .quarantine import record_failure, record_success
 from .records import (
     LossEvidence,
     TaskCheckpointed,
@@ -24,7 +24,7 @@
     TaskProvedNotStarted,
     TaskStarted,
 )
-from .reservations import abandon, drop_orphan, give_back, note_usage
+from .reservations import abandon_task, record_usage, release, release_orphan
 from .transitions import (
     accepted,
     finish_job,
@@ -82,13 +82,13 @@
         return Err(not_found(body.job))
     if body.task != latest_task_id(body.job, job) or job.status not in _STATUSES_WITH_TASK:
         return Err(wrong_state(body.job, job))
-    note_usage(state, job, memory_mib=body.peak_memory_mib, cpu_millicores=body.cpu_millicores)
+    record_usage(state, job, memory_mib=body.peak_memory_mib, cpu_millicores=body.cpu_millicores)
     return Ok(_end_attempt(state, meta, body, job))
 
 
 def _end_orphan(state: FleetState, meta: RecordMeta, body: TaskEnded) -> Accepted:
     """Release an abandoned task; its success counts if no newer attempt has been placed."""
-    drop_orphan(state, body.task)
+    release_orphan(state, body.task)
     job = state.jobs.live.get(body.job)
     if (
         job is None
@@ -105,14 +105,14 @@
 
 def _end_attempt(state: FleetState, meta: RecordMeta, body: TaskEnded, job: Job) -> Accepted:
     instance = job.instance
-    give_back(state, body.job, job)
-    learn(state, body.job, job, meta.now_ms)
+    release(state, body.job, job)
+    update_family_usage(state, body.job, job, meta.now_ms)
     if body.exit is TaskExit.SUCCEEDED:
-        note_success(state, instance)
+        record_success(state, instance)
         changed = finish_job(state, body.job, job, meta, JobStatus.SUCCEEDED)
         return accepted(changed.version, changed)
     if body.exit in (TaskExit.FAILED, TaskExit.REFUSED):
-        note_failure(state, body.job, job, instance)
+        record_failure(state, body.job, job, instance)
     reason = f"{body.exit} on {instance} {body.detail}".rstrip()
     # A task that was reported as running did run, even if a later report denies it.
     if not body.ran and job.started_ms == 0:
@@ -142,7 +142,7 @@
 ) -> Result[Accepted, Rejected]:
     """Queue a job again after the platform proved that its task will never start."""
     if body.task in state.jobs.orphans:
-        drop_orphan(state, body.task)
+        release_orphan(state, body.task)
         return Ok(accepted(0))
     job = state.jobs.live.get(body.job)
     if job is None:
@@ -150,7 +150,7 @@
     is_pending = job.status in (JobStatus.PLACED, JobStatus.UNKNOWN)
     if body.task != latest_task_id(body.job, job) or not is_pending or job.started_ms > 0:
         return Err(wrong_state(body.job, job))
-    give_back(state, body.job, job)
+    release(state, body.job, job)
     changed = retry_after_start_failure(state, body.job, job, meta, "proved not to have started")
     return Ok(accepted(changed.version, changed))
 
@@ -162,7 +162,7 @@
     """Record a checkpoint, and queue the job again if its task stopped."""
     if body.task in state.jobs.orphans:
         if body.stopped:
-            drop_orphan(state, body.task)
+            release_orphan(state, body.task)
         return Ok(accepted(0))
     job = state.jobs.live.get(body.job)
     if job is None:
@@ -187,7 +187,7 @@
 def _end_at_checkpoint(
     state: FleetState, meta: RecordMeta, body: TaskCheckpointed, job: Job
 ) -> Accepted:
-    give_back(state, body.job, job)
+    release(state, body.job, job)
     if job.cancelling:
         changed = finish_job(state, body.job, job, meta, JobStatus.CANCELLED, "stopped")
     elif body.saved:
@@ -204,7 +204,7 @@
     """Handle a task whose lease has expired or that the platform can't run any more."""
     gone = body.evidence is LossEvidence.TASK_GONE
     if body.task in state.jobs.orphans and gone:
-        drop_orphan(state, body.task)
+        release_orphan(state, body.task)
         return Ok(accepted(0))
     job = state.jobs.live.get(body.job)
     if job is None:
@@ -217,7 +217,7 @@
     ):
         return Err(wrong_state(body.job, job))
     if gone:
-        give_back(state, body.job, job)
+        release(state, body.job, job)
         reason = f"gone with {job.instance}"
         changed = _retry_or_mark_unknown(state, meta, body.job, job, reason)
         return Ok(accepted(changed.version, changed))
@@ -243,7 +243,7 @@
     """
     if job.spec.idempotent:
         reason = f"lease lapsed on {job.instance}"
-        abandon(state, job_id, job)
+        abandon_task(state, job_id, job)
         return retry_after_failure(state, job_id, job, meta, reason)
     full_reason = f"lease lapsed on {job.instance}: it may have run, or be running"
     return set_status(job_id, job, meta, JobStatus.UNKNOWN, full_reason)
--- a/heatherkeel/jobs/transitions.py
+++ b/heatherkeel/jobs/transitions.py
@@ -27,7 +27,7 @@
     job_team,
     latest_task_id,
 )
-from .reservations import drop_orphan, give_back
+from .reservations import release, release_orphan
 
 _ENCODER = msgspec.json.Encoder(order="sorted")
 
@@ -80,7 +80,7 @@
     reason: str = "",
 ) -> JobChanged:
     """Finish a job and keep a summary of it for queries and resubmissions."""
-    give_back(state, job_id, job)
+    release(state, job_id, job)
     changed = set_status(job_id, job, meta, status, reason)
     del state.jobs.live[job_id]
     state.jobs.finished[job_id] = FinishedJob(
@@ -169,7 +169,7 @@
     jobs.workers = {key: record for key, record in jobs.workers.items() if key in present}
     gone = [task for task, orphan in jobs.orphans.items() if orphan.instance not in present]
     for task in gone:
-        drop_orphan(state, task)
+        release_orphan(state, task)
 
 
 def _is_expired(job: FinishedJob, now_ms: int) -> bool:
--- a/heatherkeel/jobs/usage.py
+++ b/heatherkeel/jobs/usage.py
@@ -11,7 +11,7 @@
 
 from .models import ACTIVE_STATUSES, Job, ThrottleTask, job_id_of_task, latest_task_id
 from .records import UsageReport, UsageSample
-from .reservations import capacity_of, note_usage
+from .reservations import capacity_of, record_usage
 
 
 @handles("jobs.usage", UsageReport)
@@ -32,7 +32,7 @@
         ):
             continue
         applied += 1
-        note_usage(
+        record_usage(
             state, job, memory_mib=sample.peak_memory_mib, cpu_millicores=sample.cpu_millicores
         )
         effects += _throttle(state, sample, job)
