--- a/heatherkeel/jobs/best_fit.py
+++ b/heatherkeel/jobs/best_fit.py
@@ -13,8 +13,8 @@
 from .fairness import FairQueue, fair_queue
 from .learning import expected_size, family_key
 from .models import ACTIVE_STATUSES, Job, Resources, job_team
-from .packing import PoolRooms, Room, find_rooms
-from .policy import PlacementRound, RoundRequest, due_jobs, placement, policy, wanted_jobs
+from .packing import PoolCapacity, WorkerCapacity, find_free_capacity
+from .policy import PlacementRound, RoundRequest, due_jobs, jobs_in_scope, placement, policy
 from .preemption import Preemptions, start_preemptions
 from .reservations import clip_need
 
@@ -23,13 +23,13 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Round:
+class _RoundContext:
     """Working data of one round."""
 
     state: FleetState
     request: RoundRequest
     planned: PlacementRound
-    rooms: dict[str, PoolRooms]
+    pools: dict[str, PoolCapacity]
     queue: FairQueue
     preemptions: Preemptions
     spread: dict[SpreadKey, int]
@@ -43,114 +43,116 @@
     due = due_jobs(state, request, planned)
     if not due:
         return planned
-    rooms = find_rooms(state, request.pools)
-    this = _Round(
+    pools = find_free_capacity(state, request.pools)
+    context = _RoundContext(
         state=state,
         request=request,
         planned=planned,
-        rooms=rooms,
+        pools=pools,
         queue=fair_queue(state, due),
-        preemptions=start_preemptions(state, rooms, wanted_jobs(state, request)),
-        spread=_count_families(state, wanted_jobs(state, request)),
+        preemptions=start_preemptions(state, pools, jobs_in_scope(state, request)),
+        spread=_count_families(state, jobs_in_scope(state, request)),
     )
     while planned.placed < request.limit:
-        job_id = this.queue.pop()
+        job_id = context.queue.pop()
         if job_id is None:
             break
-        _place_one(this, job_id, due[job_id])
+        _place_job(context, job_id, due[job_id])
     return planned
 
 
-def _place_one(this: _Round, job_id: str, job: Job) -> None:
-    pool = this.rooms.get(job.spec.pool)
+def _place_job(context: _RoundContext, job_id: str, job: Job) -> None:
+    pool = context.pools.get(job.spec.pool)
     if pool is None:
-        this.planned.wait("no_worker")
+        context.planned.count_waiting("no_worker")
         return
-    team = this.queue.teams[job_team(job_id)]
-    need = clip_need(_size(this, job_id, job), job.spec.size, pool.largest, team.quota)
-    if not team.has(need):
-        _wait_or_preempt(this, job_id, job, need, quota_left=team.left())
+    team = context.queue.teams[job_team(job_id)]
+    need = clip_need(_size(context, job_id, job), job.spec.size, pool.largest, team.quota)
+    if not team.has_quota_for(need):
+        _wait_or_preempt(context, job_id, job, need, quota_left=team.remaining())
         return
-    room = _find_room(this, pool, job_id, job, need)
-    if room is None:
-        _wait_or_preempt(this, job_id, job, need, quota_left=None)
+    worker = _find_worker(context, pool, job_id, job, need)
+    if worker is None:
+        _wait_or_preempt(context, job_id, job, need, quota_left=None)
         return
-    pool.take(room, need)
+    pool.reserve(worker, need)
     team.add(need)
-    _count(this.spread, family_key(job_id, job), job.spec.pool, room)
-    this.planned.records.append(placement(job_id, job, room.instance, this.request.placer))
-    this.planned.placed += 1
+    _increment_spread(context.spread, family_key(job_id, job), job.spec.pool, worker)
+    context.planned.records.append(placement(job_id, job, worker.instance, context.request.placer))
+    context.planned.placed += 1
 
 
 def _wait_or_preempt(
-    this: _Round, job_id: str, job: Job, need: Resources, *, quota_left: Resources | None
+    context: _RoundContext, job_id: str, job: Job, need: Resources, *, quota_left: Resources | None
 ) -> None:
     reason = "no_room" if quota_left is None else "no_quota"
     if job.spec.service_class is not ServiceClass.URGENT:
-        this.planned.wait(reason)
+        context.planned.count_waiting(reason)
         return
-    records = this.preemptions.make_room(job_id, job, need, quota_left=quota_left)
-    this.planned.records += records
-    this.planned.wait("checkpoint_of_others" if records else reason)
+    records = context.preemptions.preempt_for(job_id, job, need, quota_left=quota_left)
+    context.planned.records += records
+    context.planned.count_waiting("checkpoint_of_others" if records else reason)
 
 
-def _size(this: _Round, job_id: str, job: Job) -> Resources:
+def _size(context: _RoundContext, job_id: str, job: Job) -> Resources:
     """Return the expected size, cached by family and declared size."""
     key = (family_key(job_id, job), job.spec.size)
-    size = this.sizes.get(key)
+    size = context.sizes.get(key)
     if size is None:
-        size = expected_size(this.state, job_id, job)
-        this.sizes[key] = size
+        size = expected_size(context.state, job_id, job)
+        context.sizes[key] = size
     return size
 
 
-def _find_room(
-    this: _Round, pool: PoolRooms, job_id: str, job: Job, need: Resources
-) -> Room | None:
+def _find_worker(
+    context: _RoundContext, pool: PoolCapacity, job_id: str, job: Job, need: Resources
+) -> WorkerCapacity | None:
     """Return the best fit among the first suitable workers, or any worker that has capacity."""
-    held = pool.held.get(job_id)
-    if held is not None and held.has(need):
+    held = pool.held_workers.get(job_id)
+    if held is not None and held.has_capacity_for(need):
         return held
-    if pool.is_hopeless(need):
+    if pool.has_failed_before(need):
         return None
-    suits = _suits(this, pool, job_id, job)
-    best: Room | None = None
-    second_choice: Room | None = None
+    is_suitable = _suitability_check(context, pool, job_id, job)
+    best: WorkerCapacity | None = None
+    fallback: WorkerCapacity | None = None
     compared = 0
-    for room in pool.with_room(need, job_id):
-        if not suits(room):
-            second_choice = second_choice or room
+    for worker in pool.workers_with_capacity(need, job_id):
+        if not is_suitable(worker):
+            fallback = fallback or worker
             continue
-        if best is None or room.left_over(need) < best.left_over(need):
-            best = room
+        if best is None or worker.remaining_per_mille(need) < best.remaining_per_mille(need):
+            best = worker
         compared += 1
         if compared == FIT_CANDIDATES:
             break
-    if best is None and second_choice is None:
+    if best is None and fallback is None:
         pool.failed_needs.append(need)
-    return best or second_choice
+    return best or fallback
 
 
-def _suits(this: _Round, pool: PoolRooms, job_id: str, job: Job) -> Callable[[Room], bool]:
+def _suitability_check(
+    context: _RoundContext, pool: PoolCapacity, job_id: str, job: Job
+) -> Callable[[WorkerCapacity], bool]:
     """Return a predicate for workers that keep the family spread and haven't failed the job.
 
     The spread limits are loose: spreading small families as widely as possible would fragment
     the workers and leave no capacity for large jobs.
     """
     family = family_key(job_id, job)
-    spread = this.spread
+    spread = context.spread
     total = spread.get((family, job.spec.pool), 0)
     zone_limit = total // max(1, len(pool.zones)) + SPREAD_TOLERANCE
     rack_limit = total // max(1, len(pool.racks)) + SPREAD_TOLERANCE
 
-    def suits(room: Room) -> bool:
+    def is_suitable(worker: WorkerCapacity) -> bool:
         return (
-            spread.get((family, room.zone), 0) < zone_limit
-            and spread.get((family, room.rack), 0) < rack_limit
-            and room.instance not in job.failed_on
+            spread.get((family, worker.zone), 0) < zone_limit
+            and spread.get((family, worker.rack), 0) < rack_limit
+            and worker.instance not in job.failed_on
         )
 
-    return suits
+    return is_suitable
 
 
 def _count_families(state: FleetState, jobs: Mapping[str, Job]) -> dict[SpreadKey, int]:
@@ -161,11 +163,13 @@
             continue
         instance = state.pools.instances.get(job.instance)
         if instance is not None:
-            _count(spread, family_key(job_id, job), job.spec.pool, instance)
+            _increment_spread(spread, family_key(job_id, job), job.spec.pool, instance)
     return spread
 
 
-def _count(spread: dict[SpreadKey, int], family: str, pool: str, place: Room | Instance) -> None:
-    for domain in (pool, place.zone, place.rack):
+def _increment_spread(
+    spread: dict[SpreadKey, int], family: str, pool: str, location: WorkerCapacity | Instance
+) -> None:
+    for domain in (pool, location.zone, location.rack):
         key = (family, domain)
         spread[key] = spread.get(key, 0) + 1
--- a/heatherkeel/jobs/fairness.py
+++ b/heatherkeel/jobs/fairness.py
@@ -12,12 +12,12 @@
 from .models import Job, Resources, job_team
 from .reservations import quota_of
 
-_SHARE_UNITS = 1_000_000
+_FRACTION_UNITS = 1_000_000
 _NO_QUOTA = Resources()
 
 
 @dataclass(kw_only=True, slots=True)
-class TeamUse:
+class TeamUsage:
     """Usage and quota of a team in this round."""
 
     quota: Resources
@@ -25,15 +25,15 @@
     memory_mib: int = 0
     accelerators: int = 0
 
-    def share(self) -> int:
+    def dominant_share(self) -> int:
         """Return the dominant share: the largest used fraction of any quota, in millionths."""
         return max(
-            _share(self.cpu_millicores, self.quota.cpu_millicores),
-            _share(self.memory_mib, self.quota.memory_mib),
-            _share(self.accelerators, self.quota.accelerators),
+            _used_fraction(self.cpu_millicores, self.quota.cpu_millicores),
+            _used_fraction(self.memory_mib, self.quota.memory_mib),
+            _used_fraction(self.accelerators, self.quota.accelerators),
         )
 
-    def has(self, need: Resources) -> bool:
+    def has_quota_for(self, need: Resources) -> bool:
         """Return whether the remaining quota covers a need."""
         return (
             self.cpu_millicores + need.cpu_millicores <= self.quota.cpu_millicores
@@ -41,7 +41,7 @@
             and self.accelerators + need.accelerators <= self.quota.accelerators
         )
 
-    def left(self) -> Resources:
+    def remaining(self) -> Resources:
         """Return the remaining quota, at least 0 of each resource."""
         return Resources(
             cpu_millicores=max(0, self.quota.cpu_millicores - self.cpu_millicores),
@@ -58,13 +58,13 @@
 
 @dataclass(kw_only=True, slots=True)
 class FairQueue:
-    """Queue of one round; the caller adds each placement to its `TeamUse` before the next `pop`.
+    """Queue of one round; the caller adds each placement to its `TeamUsage` before the next `pop`.
 
     Within a service class, the team with the smallest dominant share comes next, so that a team
     with a large backlog can't starve the others.
     """
 
-    teams: dict[str, TeamUse] = field(default_factory=dict)
+    teams: dict[str, TeamUsage] = field(default_factory=dict)
     queues: dict[ServiceClass, dict[str, deque[str]]] = field(default_factory=dict)
     heaps: dict[ServiceClass, list[tuple[int, str]]] = field(default_factory=dict)
 
@@ -73,9 +73,9 @@
         for service_class in CLASS_ORDER:
             heap = self.heaps.get(service_class)
             while heap:
-                share, team = heappop(heap)
-                current = self.teams[team].share()
-                if current > share:
+                queued_share, team = heappop(heap)
+                current = self.teams[team].dominant_share()
+                if current > queued_share:
                     heappush(heap, (current, team))
                     continue
                 queue = self.queues[service_class][team]
@@ -93,27 +93,27 @@
     for job_id, job in ordered:
         team = job_team(job_id)
         if team not in queue.teams:
-            queue.teams[team] = _team_use(state, team)
+            queue.teams[team] = _team_usage(state, team)
         teams = queue.queues.setdefault(job.spec.service_class, {})
         teams.setdefault(team, deque()).append(job_id)
     for service_class, teams in queue.queues.items():
-        heap = [(queue.teams[team].share(), team) for team in teams]
+        heap = [(queue.teams[team].dominant_share(), team) for team in teams]
         heapify(heap)
         queue.heaps[service_class] = heap
     return queue
 
 
-def _team_use(state: FleetState, team: str) -> TeamUse:
-    use = TeamUse(quota=quota_of(state, team) or _NO_QUOTA)
+def _team_usage(state: FleetState, team: str) -> TeamUsage:
+    usage = TeamUsage(quota=quota_of(state, team) or _NO_QUOTA)
     load = state.jobs.teams.get(team)
     if load is not None:
-        use.cpu_millicores = load.cpu_millicores
-        use.memory_mib = load.memory_mib
-        use.accelerators = load.accelerators
-    return use
+        usage.cpu_millicores = load.cpu_millicores
+        usage.memory_mib = load.memory_mib
+        usage.accelerators = load.accelerators
+    return usage
 
 
-def _share(used: int, quota: int) -> int:
+def _used_fraction(used: int, quota: int) -> int:
     if used == 0:
         return 0
-    return used * _SHARE_UNITS // max(1, quota)
+    return used * _FRACTION_UNITS // max(1, quota)
--- a/heatherkeel/jobs/policy.py
+++ b/heatherkeel/jobs/policy.py
@@ -42,7 +42,7 @@
     placed: int = 0
     waiting: dict[str, int] = field(default_factory=dict)
 
-    def wait(self, reason: str) -> None:
+    def count_waiting(self, reason: str) -> None:
         """Count one waiting job."""
         self.waiting[reason] = self.waiting.get(reason, 0) + 1
 
@@ -76,7 +76,7 @@
     )
 
 
-def wanted_jobs(state: FleetState, request: RoundRequest) -> Mapping[str, Job]:
+def jobs_in_scope(state: FleetState, request: RoundRequest) -> Mapping[str, Job]:
     """Return the live jobs in the scope of a round."""
     return state.jobs.live if request.jobs is None else request.jobs
 
@@ -85,7 +85,7 @@
     """Return the queued jobs that can be placed now, and plan to end those that can never run."""
     queued = [
         (job_id, job)
-        for job_id, job in wanted_jobs(state, request).items()
+        for job_id, job in jobs_in_scope(state, request).items()
         if job.status is JobStatus.QUEUED
         and (request.pools is None or job.spec.pool in request.pools)
     ]
@@ -94,14 +94,14 @@
     now_ms = max(state.now_ms, request.now_ms)
     shapes = pool_shapes(state, {job.spec.pool for _, job in queued})
     due: dict[str, Job] = {}
-    never: list[str] = []
+    unplaceable: list[str] = []
     for job_id, job in queued:
         if job.not_before_ms > now_ms:
-            planned.wait("retry_not_due")
+            planned.count_waiting("retry_not_due")
         elif permanent_obstacle(state, shapes, job_id, job):
-            never.append(job_id)
+            unplaceable.append(job_id)
         else:
             due[job_id] = job
-    if never:
-        planned.records.append(JobUnplaceable(jobs=tuple(sorted(never)[:MAX_BATCH])))
+    if unplaceable:
+        planned.records.append(JobUnplaceable(jobs=tuple(sorted(unplaceable)[:MAX_BATCH])))
     return due
--- a/heatherkeel/jobs/preemption.py
+++ b/heatherkeel/jobs/preemption.py
@@ -10,7 +10,7 @@
 
 from .const import MAX_PREEMPTIONS_PER_ROUND, PREEMPTION_CANDIDATES
 from .models import Job, JobStatus, Resources, job_team
-from .packing import PoolRooms, Room
+from .packing import PoolCapacity, WorkerCapacity
 from .records import CheckpointCause, JobCheckpoint
 
 
@@ -29,17 +29,17 @@
 class Preemptions:
     """Preemptions of one round; each worker and each victim is used at most once."""
 
-    rooms: dict[str, PoolRooms]
+    pools: dict[str, PoolCapacity]
     jobs: Mapping[str, Job]
-    served: set[str]
+    in_progress: set[str]
     """Urgent jobs with a preemption in progress.
 
     A checkpoint takes longer than a round, and no further victims must be chosen meanwhile.
     """
-    made: int = 0
+    count: int = 0
     victims: dict[str, list[Victim]] | None = None
 
-    def make_room(
+    def preempt_for(
         self, job_id: str, job: Job, need: Resources, *, quota_left: Resources | None
     ) -> list[JobCheckpoint]:
         """Return the checkpoints that free capacity for an urgent job; empty if impossible.
@@ -47,30 +47,32 @@
         `quota_left` is given if the team's quota is exhausted. Then only jobs of the same team
         are preempted, as they have to free both the worker and the quota.
         """
-        if self.made >= MAX_PREEMPTIONS_PER_ROUND or job_id in self.served:
+        if self.count >= MAX_PREEMPTIONS_PER_ROUND or job_id in self.in_progress:
             return []
         best: list[Victim] = []
-        best_room: Room | None = None
-        pool = self.rooms[job.spec.pool]
+        best_worker: WorkerCapacity | None = None
+        pool = self.pools[job.spec.pool]
         compared = 0
         only_team = "" if quota_left is None else job_team(job_id)
-        for room, victims in self._worker_victims(pool, job_id, only_team):
-            chosen = fewest_victims(victims, need, _left(room, quota_left))
+        for worker, victims in self._worker_victims(pool, job_id, only_team):
+            chosen = select_victims(victims, need, _free_capacity(worker, quota_left))
             if not chosen:
                 continue
-            if best_room is None or _cost(chosen) < _cost(best):
-                best, best_room = chosen, room
+            if best_worker is None or _cost(chosen) < _cost(best):
+                best, best_worker = chosen, worker
             compared += 1
             if compared == PREEMPTION_CANDIDATES:
                 break
-        if best_room is None:
+        if best_worker is None:
             return []
-        return self._commit(job_id, best, best_room)
+        return self._commit(job_id, best, best_worker)
 
-    def _commit(self, job_id: str, victims: list[Victim], room: Room) -> list[JobCheckpoint]:
-        room.held_for = job_id
-        self.made += 1
-        self.served.add(job_id)
+    def _commit(
+        self, job_id: str, victims: list[Victim], worker: WorkerCapacity
+    ) -> list[JobCheckpoint]:
+        worker.held_for = job_id
+        self.count += 1
+        self.in_progress.add(job_id)
         return [
             JobCheckpoint(
                 job=victim.job_id,
@@ -83,30 +85,30 @@
         ]
 
     def _worker_victims(
-        self, pool: PoolRooms, job_id: str, only_team: str
-    ) -> list[tuple[Room, list[Victim]]]:
+        self, pool: PoolCapacity, job_id: str, only_team: str
+    ) -> list[tuple[WorkerCapacity, list[Victim]]]:
         if self.victims is None:
             self.victims = find_victims(self.jobs)
         found = []
         for instance_id in sorted(self.victims.keys() & pool.by_id.keys()):
-            room = pool.by_id[instance_id]
-            if room.held_for not in ("", job_id):
+            worker = pool.by_id[instance_id]
+            if worker.held_for not in ("", job_id):
                 continue
             victims = self.victims[instance_id]
             if only_team:
                 victims = [victim for victim in victims if victim.team == only_team]
             if victims:
-                found.append((room, victims))
+                found.append((worker, victims))
         return found
 
 
 def start_preemptions(
-    state: FleetState, rooms: dict[str, PoolRooms], jobs: Mapping[str, Job]
+    state: FleetState, pools: dict[str, PoolCapacity], jobs: Mapping[str, Job]
 ) -> Preemptions:
     """Return the preemptions of a new round, with those still in progress."""
     holds = state.jobs.holds.values()
-    served = {hold.job for hold in holds if hold.until_ms > state.now_ms}
-    return Preemptions(rooms=rooms, jobs=jobs, served=served)
+    in_progress = {hold.job for hold in holds if hold.until_ms > state.now_ms}
+    return Preemptions(pools=pools, jobs=jobs, in_progress=in_progress)
 
 
 def find_victims(jobs: Mapping[str, Job]) -> dict[str, list[Victim]]:
@@ -126,22 +128,22 @@
     return victims
 
 
-def fewest_victims(victims: list[Victim], need: Resources, left: Resources) -> list[Victim]:
+def select_victims(victims: list[Victim], need: Resources, free: Resources) -> list[Victim]:
     """Return a small set of victims that frees enough capacity, or none if all don't suffice.
 
     Greedy by memory, largest first; then victims that aren't needed are removed, also largest
     first.
     """
     chosen: list[Victim] = []
-    for victim in sorted(victims, key=lambda one: (-one.held.memory_mib, one.job_id)):
-        if _makes_room(chosen, need, left):
+    for victim in sorted(victims, key=lambda item: (-item.held.memory_mib, item.job_id)):
+        if _frees_enough(chosen, need, free):
             break
         chosen.append(victim)
-    if not _makes_room(chosen, need, left):
+    if not _frees_enough(chosen, need, free):
         return []
     for victim in list(chosen):
         others = [other for other in chosen if other is not victim]
-        if others and _makes_room(others, need, left):
+        if others and _frees_enough(others, need, free):
             chosen = others
     return chosen
 
@@ -155,10 +157,10 @@
     )
 
 
-def _makes_room(victims: list[Victim], need: Resources, left: Resources) -> bool:
-    cpu = left.cpu_millicores + sum(victim.held.cpu_millicores for victim in victims)
-    memory = left.memory_mib + sum(victim.held.memory_mib for victim in victims)
-    accelerators = left.accelerators + sum(victim.held.accelerators for victim in victims)
+def _frees_enough(victims: list[Victim], need: Resources, free: Resources) -> bool:
+    cpu = free.cpu_millicores + sum(victim.held.cpu_millicores for victim in victims)
+    memory = free.memory_mib + sum(victim.held.memory_mib for victim in victims)
+    accelerators = free.accelerators + sum(victim.held.accelerators for victim in victims)
     return (
         need.cpu_millicores <= cpu
         and need.memory_mib <= memory
@@ -166,9 +168,9 @@
     )
 
 
-def _left(room: Room, quota_left: Resources | None) -> Resources:
+def _free_capacity(worker: WorkerCapacity, quota_left: Resources | None) -> Resources:
     """Return the free capacity of a worker, limited by the quota that is left if given."""
-    limits = [room.left()] if quota_left is None else [room.left(), quota_left]
+    limits = [worker.free()] if quota_left is None else [worker.free(), quota_left]
     return Resources(
         cpu_millicores=min(limit.cpu_millicores for limit in limits),
         memory_mib=min(limit.memory_mib for limit in limits),
