--- a/heatherkeel/jobs/checks.py
+++ b/heatherkeel/jobs/checks.py
@@ -50,19 +50,19 @@
 @checks("worker_capacity_holds_for_jobs")
 def check_capacity(state: FleetState) -> Iterator[Violation]:
     """Find workers that are overcommitted, or whose recorded load is wrong."""
-    expected, _ = _recount(state)
+    expected, _ = _recompute_loads(state)
     yield from _differences(state, "worker_capacity_holds_for_jobs", expected, state.jobs.loads)
     for instance_id, load in expected.items():
         instance = state.pools.instances.get(instance_id)
         if instance is None:
             continue
         capacity = capacity_of(instance)
-        over = (
+        overcommitted = (
             load.cpu_millicores > capacity.cpu_millicores
             or load.memory_mib > capacity.memory_mib
             or load.accelerators > capacity.accelerators
         )
-        if over:
+        if overcommitted:
             detail = f"holds {load}, has {capacity}"
             yield _violation(state, "worker_capacity_holds_for_jobs", instance_id, detail)
 
@@ -73,7 +73,7 @@
 
     The quota isn't checked here, as an operator may lower it below the current usage.
     """
-    _, expected = _recount(state)
+    _, expected = _recompute_loads(state)
     yield from _differences(state, "team_usage_is_booked_rightly", expected, state.jobs.teams)
 
 
@@ -91,7 +91,7 @@
             yield _violation(state, "planned_stop_cuts_no_job", job_id, detail)
 
 
-def _recount(state: FleetState) -> tuple[dict[str, Load], dict[str, Load]]:
+def _recompute_loads(state: FleetState) -> tuple[dict[str, Load], dict[str, Load]]:
     """Recompute the loads of workers and teams from the jobs."""
     loads: dict[str, Load] = {}
     teams: dict[str, Load] = {}
@@ -114,11 +114,11 @@
 
 
 def _differences(
-    state: FleetState, promise: str, expected: dict[str, Load], booked: dict[str, Load]
+    state: FleetState, promise: str, expected: dict[str, Load], recorded: dict[str, Load]
 ) -> Iterator[Violation]:
-    for key in expected.keys() | booked.keys():
-        if expected.get(key) != booked.get(key):
-            detail = f"holds {expected.get(key)}, booked {booked.get(key)}"
+    for key in expected.keys() | recorded.keys():
+        if expected.get(key) != recorded.get(key):
+            detail = f"holds {expected.get(key)}, recorded {recorded.get(key)}"
             yield _violation(state, promise, key, detail)
 
 
--- a/heatherkeel/jobs/draining.py
+++ b/heatherkeel/jobs/draining.py
@@ -47,7 +47,7 @@
     for job_id, job in (state.jobs.live if jobs is None else jobs).items():
         if job.instance not in draining or job.reserved is None:
             continue
-        reason = _why_wait(state, job_id, job)
+        reason = _wait_reason(state, job_id, job)
         if reason:
             plan.waits.append(DrainWait(job=job_id, instance=job.instance, reason=reason))
         else:
@@ -61,7 +61,7 @@
     return 0 if load is None else load.tasks
 
 
-def _why_wait(state: FleetState, job_id: str, job: Job) -> str:
+def _wait_reason(state: FleetState, job_id: str, job: Job) -> str:
     if job.status is JobStatus.UNKNOWN:
         return "not known whether its task still runs"
     if job.status in ACTIVE_STATUSES and job.status is not JobStatus.RUNNING:
--- a/heatherkeel/jobs/observing.py
+++ b/heatherkeel/jobs/observing.py
@@ -42,36 +42,36 @@
 )
 from .transitions import checkpoint_task, stop_task
 
-_WAITING = (JobStatus.PLACED, JobStatus.UNKNOWN)
+_UNCONFIRMED_STATUSES = (JobStatus.PLACED, JobStatus.UNKNOWN)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Watched:
+class _TrackedTask:
     """A task that the fold tracks; `job` is None if the task was abandoned."""
 
     job: Job | None
     instance: str
 
 
-def evidence_of(state: FleetState, views: Iterable[TaskView]) -> list[RecordBody]:
+def observation_records(state: FleetState, views: Iterable[TaskView]) -> list[RecordBody]:
     """Return the records of what the views show and the fold doesn't know yet."""
     records: list[RecordBody] = []
     samples: list[UsageSample] = []
     for view in views:
-        watched = _find_watched(state, view.task)
-        if watched is None:
+        tracked = _find_tracked_task(state, view.task)
+        if tracked is None:
             continue
-        record = _evidence(view, watched.job)
+        record = _observation_record(view, tracked.job)
         if record is not None:
             records.append(record)
-        elif watched.job is not None and _uses_more(view, watched.job):
-            samples.append(_sample(view))
+        elif tracked.job is not None and _has_usage_increased(view, tracked.job):
+            samples.append(_usage_sample(view))
     for start in range(0, len(samples), MAX_BATCH):
         records.append(UsageReport(samples=tuple(samples[start : start + MAX_BATCH])))
     return records
 
 
-def effects_due(
+def find_due_effects(
     state: FleetState,
     views: Mapping[str, TaskView],
     placer: str,
@@ -90,7 +90,9 @@
     for job_id, job in (state.jobs.live if jobs is None else jobs).items():
         if job.status is JobStatus.QUEUED:
             continue
-        effect = _effect_due(now_ms, views.get(latest_task_id(job_id, job)), placer, job_id, job)
+        effect = _find_due_effect(
+            now_ms, views.get(latest_task_id(job_id, job)), placer, job_id, job
+        )
         if effect is not None:
             effects.append(effect)
     for task, orphan in state.jobs.orphans.items():
@@ -100,23 +102,23 @@
     return effects
 
 
-def _find_watched(state: FleetState, task: str) -> _Watched | None:
+def _find_tracked_task(state: FleetState, task: str) -> _TrackedTask | None:
     orphan = state.jobs.orphans.get(task)
     if orphan is not None:
-        return _Watched(job=None, instance=orphan.instance)
+        return _TrackedTask(job=None, instance=orphan.instance)
     job_id = job_id_of_task(task)
     job = state.jobs.live.get(job_id)
     if job is None or job.status is JobStatus.QUEUED or latest_task_id(job_id, job) != task:
         return None
-    return _Watched(job=job, instance=job.instance)
+    return _TrackedTask(job=job, instance=job.instance)
 
 
-def _evidence(view: TaskView, job: Job | None) -> RecordBody | None:
+def _observation_record(view: TaskView, job: Job | None) -> RecordBody | None:
     """Return the record of what one view shows; `job` is None for an abandoned task."""
     match view.state:
         case TaskState.RUNNING:
-            waits = job is not None and job.status in _WAITING
-            return TaskStarted(task=view.task) if waits else None
+            unconfirmed = job is not None and job.status in _UNCONFIRMED_STATUSES
+            return TaskStarted(task=view.task) if unconfirmed else None
         case TaskState.VOID if view.exit is ReportedExit.REFUSED:
             return TaskEnded(
                 task=view.task, exit=TaskExit.REFUSED, ran=False, detail=view.detail[:200]
@@ -126,19 +128,19 @@
         case TaskState.ENDED if view.exit is ReportedExit.CHECKPOINTED:
             return TaskCheckpointed(task=view.task, saved=True, stopped=True)
         case TaskState.ENDED:
-            return _ended(view)
+            return _ended_record(view)
         case TaskState.LAPSED:
             if job is None or job.status not in ACTIVE_STATUSES:
                 return None
-            return _lost(view, job.version, LossEvidence.LEASE_LAPSED)
+            return _lost_record(view, job.version, LossEvidence.LEASE_LAPSED)
         case TaskState.GONE:
             if job is not None and job.reserved is None:
                 return None
             version = 1 if job is None else job.version
-            return _lost(view, version, LossEvidence.TASK_GONE)
+            return _lost_record(view, version, LossEvidence.TASK_GONE)
 
 
-def _ended(view: TaskView) -> TaskEnded:
+def _ended_record(view: TaskView) -> TaskEnded:
     return TaskEnded(
         task=view.task,
         exit=TaskExit(view.exit),
@@ -149,11 +151,11 @@
     )
 
 
-def _lost(view: TaskView, version: int, evidence: LossEvidence) -> TaskLost:
+def _lost_record(view: TaskView, version: int, evidence: LossEvidence) -> TaskLost:
     return TaskLost(task=view.task, expected_version=version, evidence=evidence)
 
 
-def _uses_more(view: TaskView, job: Job) -> bool:
+def _has_usage_increased(view: TaskView, job: Job) -> bool:
     """Return whether usage rose enough for a record, to limit the load on the log."""
     step = job.peak_memory_mib * USAGE_CHANGE_PERCENT // 100
     if view.peak_memory_mib > job.peak_memory_mib + step:
@@ -162,7 +164,7 @@
     return view.cpu_millicores > job.peak_cpu_millicores + step
 
 
-def _sample(view: TaskView) -> UsageSample:
+def _usage_sample(view: TaskView) -> UsageSample:
     return UsageSample(
         task=view.task,
         peak_memory_mib=view.peak_memory_mib,
@@ -170,7 +172,7 @@
     )
 
 
-def _effect_due(
+def _find_due_effect(
     now_ms: int, view: TaskView | None, placer: str, job_id: str, job: Job
 ) -> TaskEffect | None:
     since_ms = now_ms - job.changed_ms
@@ -192,5 +194,5 @@
         return start
     # After its window a start would be refused, and a stop proves that the task never ran. Views
     # may lag, so wait before that: a task that did start must not be stopped.
-    waited = now_ms > start.not_after_ms + MAX_VIEW_LAG_MS
-    return stop_task(job_id, job) if waited else None
+    lag_has_passed = now_ms > start.not_after_ms + MAX_VIEW_LAG_MS
+    return stop_task(job_id, job) if lag_has_passed else None
--- a/heatherkeel/jobs/placers.py
+++ b/heatherkeel/jobs/placers.py
@@ -25,7 +25,7 @@
     """
 
     alive: frozenset[str] = frozenset()
-    first_two: dict[str, tuple[str, ...]] = field(default_factory=dict)
+    candidates: dict[str, tuple[str, ...]] = field(default_factory=dict)
 
     def refresh(self, state: FleetState, now_ms: int) -> None:
         """Update the entry instances that have a valid lease at this log time."""
@@ -36,37 +36,37 @@
         )
         if alive != self.alive:
             self.alive = alive
-            self.first_two = {}
+            self.candidates = {}
 
     def of(self, pool: str) -> tuple[str, ...]:
         """Return the placer and the standby placer of a pool, as far as available."""
-        found = self.first_two.get(pool)
+        found = self.candidates.get(pool)
         if found is None:
             ordered = sorted(self.alive, key=lambda instance_id: _weight(instance_id, pool))
             found = tuple(ordered[:2])
-            self.first_two[pool] = found
+            self.candidates[pool] = found
         return found
 
-    def jobs_in_turn(self, state: FleetState, instance_id: str, now_ms: int) -> dict[str, Job]:
+    def assigned_jobs(self, state: FleetState, instance_id: str, now_ms: int) -> dict[str, Job]:
         """Return the live jobs of the pools that are assigned to this entry instance.
 
         A crashed placer keeps its lease for a while. If an urgent job waits too long, the standby
         placer takes over the pool as well.
         """
         self.refresh(state, now_ms)
-        late = {
+        overdue_pools = {
             job.spec.pool
             for job in state.jobs.live.values()
-            if _is_late(job, now_ms) and self.of(job.spec.pool)[1:] == (instance_id,)
+            if _is_overdue(job, now_ms) and self.of(job.spec.pool)[1:] == (instance_id,)
         }
         return {
             job_id: job
             for job_id, job in state.jobs.live.items()
-            if self.of(job.spec.pool)[:1] == (instance_id,) or job.spec.pool in late
+            if self.of(job.spec.pool)[:1] == (instance_id,) or job.spec.pool in overdue_pools
         }
 
 
-def _is_late(job: Job, now_ms: int) -> bool:
+def _is_overdue(job: Job, now_ms: int) -> bool:
     urgent = job.spec.service_class is ServiceClass.URGENT
     if not urgent or job.status not in (JobStatus.QUEUED, JobStatus.PLACED):
         return False
--- a/tests/jobs/test_machine.py
+++ b/tests/jobs/test_machine.py
@@ -20,7 +20,7 @@
 from heatherkeel.core.state import FleetState, canonical_bytes, from_canonical_bytes
 from heatherkeel.fleetlog.tasks import TaskRequest, TaskView
 from heatherkeel.jobs.models import CheckpointTask, JobStatus, StartTask, StopTask
-from heatherkeel.jobs.observing import effects_due, evidence_of
+from heatherkeel.jobs.observing import find_due_effects, observation_records
 from heatherkeel.jobs.policies import POLICIES
 from heatherkeel.jobs.policy import RoundRequest
 from heatherkeel.jobs.records import JobCancel, JobResolve, JobSubmit, Resolution
@@ -108,9 +108,9 @@
         self.follow(entry)
         self.look(entry)
         request = RoundRequest(placer=name)
-        entry.to_do += evidence_of(entry.state, entry.views.values())
+        entry.to_do += observation_records(entry.state, entry.views.values())
         entry.to_do += POLICIES[ENTRIES[name]](entry.state, request).records
-        entry.to_do += effects_due(entry.state, entry.views, name)
+        entry.to_do += find_due_effects(entry.state, entry.views, name)
 
     @rule(name=st.sampled_from(sorted(ENTRIES)), count=st.integers(1, 6), twice=st.booleans())
     def act(self, name: str, count: int, twice: bool) -> None:
--- a/tests/jobs/test_policy.py
+++ b/tests/jobs/test_policy.py
@@ -186,8 +186,8 @@
     order.refresh(fleet.state, fleet.now_ms)
     _, second = order.of(POOL)
     later_ms = fleet.now_ms + 1_001
-    assert order.jobs_in_turn(fleet.state, second, later_ms) == {}
+    assert order.assigned_jobs(fleet.state, second, later_ms) == {}
     fleet.submit("sheetal:now", spec_of(service_class=URGENT))
-    assert order.jobs_in_turn(fleet.state, second, fleet.now_ms) == {}
-    taken = order.jobs_in_turn(fleet.state, second, later_ms)
+    assert order.assigned_jobs(fleet.state, second, fleet.now_ms) == {}
+    taken = order.assigned_jobs(fleet.state, second, later_ms)
     assert taken.keys() == {"sheetal:night", "sheetal:now"}
