--- a/heatherkeel/jobs/placers.py
+++ b/heatherkeel/jobs/placers.py
@@ -38,7 +38,7 @@
             self.alive = alive
             self.candidates = {}
 
-    def of(self, pool: str) -> tuple[str, ...]:
+    def placers_of(self, pool: str) -> tuple[str, ...]:
         """Return the placer and the standby placer of a pool, as far as available."""
         found = self.candidates.get(pool)
         if found is None:
@@ -57,12 +57,13 @@
         overdue_pools = {
             job.spec.pool
             for job in state.jobs.live.values()
-            if _is_overdue(job, now_ms) and self.of(job.spec.pool)[1:] == (instance_id,)
+            if _is_overdue(job, now_ms) and self.placers_of(job.spec.pool)[1:] == (instance_id,)
         }
         return {
             job_id: job
             for job_id, job in state.jobs.live.items()
-            if self.of(job.spec.pool)[:1] == (instance_id,) or job.spec.pool in overdue_pools
+            if self.placers_of(job.spec.pool)[:1] == (instance_id,)
+            or job.spec.pool in overdue_pools
         }
 
 
--- a/heatherkeel/measure/urgent.py
+++ b/heatherkeel/measure/urgent.py
@@ -30,7 +30,7 @@
 BUDGET_S: Final = 3.8
 """Within this time urgent work has to start (letter 1)."""
 ENTRIES: Final = ("entrya", "entryb", "entryc")
-PLACER: Final = PlacerOrder(alive=frozenset(ENTRIES)).of(POOL)[0]
+PLACER: Final = PlacerOrder(alive=frozenset(ENTRIES)).placers_of(POOL)[0]
 _LISTENING: Final = "127.0.0.1:9"
 
 
--- a/tests/jobs/test_policy.py
+++ b/tests/jobs/test_policy.py
@@ -163,11 +163,11 @@
     order = PlacerOrder()
     order.refresh(fleet.state, fleet.now_ms)
     pools = [f"pool{number}" for number in range(50)]
-    before = {pool: order.of(pool)[0] for pool in pools}
+    before = {pool: order.placers_of(pool)[0] for pool in pools}
     assert len(set(before.values())) == 3
     fleet.state.membership.entries["entry2"].lease_until_ms = 0
     order.refresh(fleet.state, fleet.now_ms)
-    after = {pool: order.of(pool)[0] for pool in pools}
+    after = {pool: order.placers_of(pool)[0] for pool in pools}
     assert all(after[pool] == before[pool] for pool in pools if before[pool] != "entry2")
     assert "entry2" not in after.values()
 
@@ -184,7 +184,7 @@
     fleet.submit("sheetal:night")
     order = PlacerOrder()
     order.refresh(fleet.state, fleet.now_ms)
-    _, second = order.of(POOL)
+    _, second = order.placers_of(POOL)
     later_ms = fleet.now_ms + 1_001
     assert order.assigned_jobs(fleet.state, second, later_ms) == {}
     fleet.submit("sheetal:now", spec_of(service_class=URGENT))
--- a/tests/processes/test_jobs.py
+++ b/tests/processes/test_jobs.py
@@ -16,7 +16,7 @@
 
 AUTHORIZED = {"authorization": f"Bearer {TOKEN}"}
 SHORT_LEASES = "[routing]\nlease_ms = 2000\nrenew_interval_ms = 400\n"
-PLACERS = PlacerOrder(alive=frozenset({"entry1", "entry2"})).of("night")
+PLACERS = PlacerOrder(alive=frozenset({"entry1", "entry2"})).placers_of("night")
 """The entry instance that places for the pool, and the one that comes after it."""
 
 
