--- a/tests/jobs/conftest.py
+++ b/tests/jobs/conftest.py
@@ -1,4 +1,4 @@
-"""A fold with a few workers and teams, and short ways to append job records to it."""
+"""Fixture for a folded state with a few workers, and helpers that append job records to it."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class Fleet:
-    """A folded state to which records are appended one by one, checked after each."""
+    """A folded state to which records are appended; invariants are checked after each record."""
 
     def __init__(self, *, workers: int = 3, cpus: int = 4, memory_mib: int = 4_000) -> None:
         self.state = FleetState()
@@ -83,7 +83,7 @@
         self.accept(admit)
 
     def drain(self, name: str, *, routed: bool = True) -> None:
-        """Begin to move a worker away; while `routed`, an entry instance has to acknowledge."""
+        """Start to drain a worker; if `routed`, an entry instance has to acknowledge."""
         worker = self.state.pools.instances[name]
         self.accept(put("elsewhere", PoolEntry(owner=TEAM, size=0)))
         if routed:
@@ -158,7 +158,7 @@
         self.accept(self.placement(instance, job_id))
 
     def run(self, instance: str, job_id: str = JOB, spec: JobSpec | None = None) -> str:
-        """Submit if needed, place and start a job; returns its task."""
+        """Submit a job if needed, place and start it, and return its task id."""
         if job_id not in self.state.jobs.live:
             self.submit(job_id, spec)
         self.place(instance, job_id)
--- a/tests/jobs/test_golden.py
+++ b/tests/jobs/test_golden.py
@@ -1,4 +1,4 @@
-"""Golden file: a ledger job through a lapsed lease, as its owner and an operator could read it."""
+"""Snapshot of the records and effects of a job whose lease expires."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 
 def test_a_ledger_job_through_a_lapsed_lease(snapshot: SnapshotAssertion) -> None:
-    # The worker is cut off while the ledger job runs, its lease lapses, and the worker reboots:
-    # nobody can know how far the job came. Its owner looks at the books and has it run again.
+    # The worker is partitioned while the job runs, its lease expires and the worker reboots, so
+    # the job's progress is unknown. The owner decides to run it again.
     fleet = Fleet()
     lines: list[str] = []
 
--- a/tests/jobs/test_leases.py
+++ b/tests/jobs/test_leases.py
@@ -1,4 +1,4 @@
-"""Lapsed leases: nothing is guessed, nothing is doubled, and worker room is kept."""
+"""Expired leases: no job runs twice, and the capacity of abandoned tasks stays reserved."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 
 
 def test_a_ledger_job_through_a_lapsed_lease_waits_for_proof(fleet: Fleet) -> None:
-    # The worker is cut off with the task running, and comes back. Started anew meanwhile, the
-    # ledger would be written twice. The owner sees why the job waits.
+    # The worker is partitioned while the task runs, and reconnects. Starting the job again in the
+    # meantime would write the ledger twice.
     task = fleet.run("w0")
     fleet.accept(lost(fleet, LAPSED))
     assert fleet.status() is JobStatus.UNKNOWN
@@ -62,7 +62,7 @@
 
 
 def test_an_unknown_job_that_was_seen_running_is_not_proved_unstarted(fleet: Fleet) -> None:
-    # The platform's own record of the start was lost with its store, and it now denies the task.
+    # The platform lost its record of the start and now reports that the task never started.
     task = fleet.run("w0")
     fleet.accept(lost(fleet, LAPSED))
     assert fleet.refuse(TaskProvedNotStarted(task=task)) is RejectReason.WRONG_STATE
@@ -70,7 +70,7 @@
 
 
 def test_a_task_that_is_gone_leaves_the_decision_to_the_owner(fleet: Fleet) -> None:
-    # The worker rebooted: the task can't run any more, but it may have written the ledger.
+    # The worker rebooted; the task no longer runs, but may have written the ledger.
     fleet.run("w0")
     fleet.accept(lost(fleet, GONE))
     assert fleet.status() is JobStatus.UNKNOWN
@@ -86,15 +86,15 @@
     fleet.accept(resolve(fleet, Resolution.GIVE_UP))
     assert fleet.status() is JobStatus.FAILED
     assert [effect.task for effect in fleet.effects if isinstance(effect, StopTask)] == [task]
-    # Its worker is not free before the platform says that the task has ended.
+    # The worker's capacity isn't released before the platform reports the end of the task.
     assert fleet.state.jobs.loads["w0"].tasks == 1
     fleet.end(task, TaskExit.STOPPED)
     assert fleet.state.jobs.loads == {}
 
 
 def test_the_last_gate_refuses_a_second_run(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> None:
-    # A fault in the lapse rule queues a ledger job again. The placement itself must refuse it;
-    # with that gate off as well, the checker sees the second run.
+    # A faulty expiry rule queues the job again. The placement must be refused; with that check
+    # disabled as well, the invariant check finds the second run.
     fleet.run("w0")
     monkeypatch.setattr("heatherkeel.jobs.tasks.may_run_again", lambda _: True)
     fleet.accept(lost(fleet, GONE))
@@ -106,8 +106,8 @@
 
 
 def test_an_idempotent_job_runs_on_and_its_old_task_keeps_its_room(fleet: Fleet) -> None:
-    # The worker comes back with its task still running. Its memory must not have been given
-    # away, and the old task is stopped as soon as it is heard of.
+    # The worker reconnects with its task still running. Its memory must still be reserved, and
+    # the old task is stopped as soon as it is reported.
     fleet.submit(JOB, spec_of(idempotent=True, memory_mib=3_000))
     old = fleet.run("w0")
     fleet.accept(lost(fleet, LAPSED))
@@ -129,8 +129,8 @@
 
 
 def test_a_paused_observer_cannot_report_an_old_lapse(fleet: Fleet) -> None:
-    # An entry instance sees a lapse, is paused, and reports it when the worker is back and the
-    # job runs again. The version in its report is no longer the one in force.
+    # An entry instance is paused and reports an expired lease after the worker is back and the
+    # job runs again. Its report has an outdated version.
     task = fleet.run("w0")
     late = lost(fleet, LAPSED)
     fleet.accept(lost(fleet, LAPSED))
@@ -153,7 +153,7 @@
     assert fleet.status() is JobStatus.QUEUED and fleet.job().failures == 0
     fleet.run("w1")
     assert fleet.job().checkpoint == task and fleet.job().resumed
-    # A lapse leaves it unknown while the resumed task may run; gone, it resumes once more.
+    # While the resumed task may still run, the job is unknown; once it is gone, the job resumes.
     fleet.accept(lost(fleet, LAPSED))
     assert fleet.status() is JobStatus.UNKNOWN
     fleet.accept(lost(fleet, GONE))
--- a/tests/jobs/test_machine.py
+++ b/tests/jobs/test_machine.py
@@ -1,8 +1,7 @@
-"""Racing entry instances against a platform that counts what really ran.
+"""State machine test: racing entry instances against a platform that counts actual runs.
 
-Each entry instance follows the log at its own pace, decides from its own old state and its own
-old view of the tasks, and can die between any two effects. Appends and starts may be doubled
-or lose their answers; workers are cut off, come back with their tasks, reboot, or fail all.
+Entry instances decide from outdated states and task views, and crash at any time; appends may be
+duplicated; workers are partitioned, reconnect, reboot or fail all tasks.
 """
 
 from __future__ import annotations
@@ -30,21 +29,21 @@
 from .conftest import TEAM, Fleet, spec_of
 
 ENTRIES = {"entry1": "best_fit", "entry2": "best_fit", "entry3": "first_fit"}
-"""Entry instances and their policies: in the middle of a roll-out they are not the same."""
+"""Entry instances and their policies, which differ as during a rolling upgrade."""
 WORKERS = ("w0", "w1", "w2")
 JOBS = st.integers(0, 7).map(lambda number: f"{TEAM}:job{number}")
 WORKER_MIB = 2_000
-"""Room for two jobs on each worker, so that room is short."""
+"""Memory for two jobs on each worker, so that capacity is scarce."""
 FIRST_JOBS = 5
 DECIDED = st.sampled_from((f"{TEAM}:job0", f"{TEAM}:job1"))
-"""Only some jobs are cancelled or resolved, as most should get far."""
+"""Jobs that can be cancelled or resolved; the others should run to their end."""
 SETTLING_ROUNDS = 60
 SETTLING_STEP_MS = 30_000
 
 
 @dataclass(kw_only=True)
 class Entry:
-    """One entry instance: what it folded, saw of tasks, and has decided but not done yet."""
+    """One entry instance: its folded state, task views, and pending records and effects."""
 
     name: str
     state: FleetState
@@ -54,7 +53,7 @@
 
 
 class JobsMachine(RuleBasedStateMachine):
-    """Everything in one process; the log is a list, the platform is the stand-in's table."""
+    """Runs in one process; the log is a list, and the platform is the stand-in's task table."""
 
     @initialize()
     def begin(self) -> None:
@@ -103,7 +102,7 @@
 
     @rule(name=st.sampled_from(sorted(ENTRIES)))
     def decide(self, name: str) -> None:
-        """Read the log and the tasks, and decide; what is decided is done later, or never."""
+        """Read the log and the tasks, and queue the resulting records and effects."""
         entry = self.entries[name]
         self.follow(entry)
         self.look(entry)
@@ -114,7 +113,7 @@
 
     @rule(name=st.sampled_from(sorted(ENTRIES)), count=st.integers(1, 6), twice=st.booleans())
     def act(self, name: str, count: int, twice: bool) -> None:
-        """Do the oldest things that were decided, however old by now."""
+        """Apply the oldest pending records and effects, even if they are outdated."""
         entry = self.entries[name]
         doing, entry.to_do = entry.to_do[:count], entry.to_do[count:]
         for item in doing:
@@ -125,7 +124,7 @@
 
     @rule(name=st.sampled_from(sorted(ENTRIES)))
     def work(self, name: str) -> None:
-        """Do a whole round without a pause."""
+        """Run a complete round."""
         self.decide(name)
         self.act(name, 1_000, False)
         self.follow(self.entries[name])
@@ -190,7 +189,7 @@
     def let_time_pass(self, elapsed_ms: int) -> None:
         self.now_ms += elapsed_ms
         self.table.advance(self.now_ms)
-        # Renewals of routing leases carry the log's time on when nothing else is written.
+        # Lease renewals advance log time when nothing else is written.
         self.append(
             EntryJoin(
                 instance="entry1", incarnation="1", zone="zone0", peer_address="", lease_ms=1_000
@@ -215,7 +214,7 @@
         return [task for task_id, task in tasks if job_of(task_id) == job]
 
     def teardown(self) -> None:
-        """Once all is well again, every job ends, or waits for its owner with the reason."""
+        """After all faults are cleared, check that each job ends or waits for its owner."""
         if not hasattr(self, "log"):
             return
         for worker in WORKERS:
--- a/tests/jobs/test_policy.py
+++ b/tests/jobs/test_policy.py
@@ -1,4 +1,4 @@
-"""What the placement policy proposes, and that the fold takes it."""
+"""Placement policies: their proposals, and that the fold accepts them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def do_round(fleet: Fleet, **options: object) -> PlacementRound:
-    """Plan a round and append it; the fold must take all of it."""
+    """Plan a round and append its records; the fold must accept all of them."""
     planned = plan(fleet, **options)  # type: ignore[arg-type]
     for body in planned.records:
         fleet.accept(body)
@@ -37,15 +37,15 @@
 
 
 def test_a_family_is_spread_over_zones(fleet: Fleet) -> None:
-    # One availability zone is lost: no more than its share of a family's jobs may go with it.
+    # The loss of one availability zone must not affect more than an even part of a family.
     for number in range(6):
         fleet.submit(f"sheetal:j{number}")
     assert workers_of(do_round(fleet)) == {"w0": 2, "w1": 2, "w2": 2}
 
 
 def test_a_job_goes_where_it_leaves_least_room_over() -> None:
-    # Two workers of one zone, one of them half full: the small job fills it up, so that the
-    # empty one stays free for a large job.
+    # Of two workers in one zone, one is half full. The small job must go there, so that the
+    # empty worker stays free for a large job.
     fleet = Fleet(workers=1)
     fleet.admit("w3")
     fleet.run("w3", "sheetal:first", spec_of(memory_mib=2_000, family="other"))
@@ -55,7 +55,7 @@
 
 
 def test_urgent_jobs_come_first_and_teams_take_turns() -> None:
-    # One team fills the queue with a night's work before another team's urgent job comes.
+    # A team's backlog must not delay an urgent job or the batch jobs of another team.
     fleet = Fleet(workers=1)
     fleet.accept(put("agency", TeamEntry(owner=TEAM, cpu_quota=1_000, memory_quota_mib=1_000_000)))
     for number in range(9):
@@ -75,8 +75,8 @@
 
 
 def test_an_urgent_job_gets_room_by_the_fewest_checkpoints() -> None:
-    # All workers are full of batch work. One checkpoint of the large job is enough; the two
-    # small ones of the other worker would move twice as many.
+    # All workers are full of batch jobs. Preempting the large job is enough; the other worker
+    # would need two preemptions.
     fleet = Fleet(workers=2)
     for name in ("sheetal:a", "sheetal:b"):
         fleet.run("w0", name, spec_of(memory_mib=2_000, checkpointable=True))
@@ -86,10 +86,10 @@
     planned = do_round(fleet)
     assert [type(body) for body in planned.records] == [JobCheckpoint]
     assert fleet.status("sheetal:c") is JobStatus.CHECKPOINTING
-    # Until the checkpoint is done, no round asks for another one.
+    # No further victims are chosen until the checkpoint is complete.
     assert plan(fleet).records == []
     fleet.accept(TaskCheckpointed(task=large, saved=True, stopped=True))
-    # The room belongs to the urgent job, also if another placer is quicker.
+    # The freed capacity is held for the urgent job, even if another placer is faster.
     assert isinstance(fleet.append(fleet.placement("w1", "sheetal:quick")), Rejected)
     assert workers_of(do_round(fleet)) == {"w1": 1}
     assert fleet.status("sheetal:now") is JobStatus.PLACED
@@ -114,7 +114,7 @@
 
 
 def test_drains_wait_for_what_ends_soon_and_move_the_rest(fleet: Fleet) -> None:
-    # A drain that checkpointed everything would move jobs that have a minute left to run.
+    # A drain must not move jobs that have only a minute left to run.
     fleet.run("w0", "sheetal:short", spec_of(checkpointable=True))
     fleet.run("w0", "sheetal:fixed", spec_of(checkpointable=False))
     fleet.run("w0", "sheetal:over", spec_of(checkpointable=True))
@@ -131,8 +131,8 @@
 
 
 def test_a_move_ends_only_when_no_task_is_left(fleet: Fleet) -> None:
-    # No request is routed to the worker any more, but a job still runs. Given to another pool
-    # now, the worker would be rebooted under it, or run the tasks of two pools.
+    # The worker gets no more requests, but a job still runs. Joining another pool now would
+    # reboot the worker during the job, or mix the tasks of two pools.
     task = fleet.run("w0")
     fleet.drain("w0", routed=False)
     version = fleet.state.pools.instances["w0"].version
@@ -173,8 +173,7 @@
 
 
 def test_the_second_in_line_takes_over_for_an_urgent_job(fleet: Fleet) -> None:
-    # The placer dies with its lease still good. Until it lapses nobody would place for its
-    # pools, and an urgent job has to start within seconds.
+    # The placer crashes with a valid lease. An urgent job must not wait until the lease expires.
     for name in ("entry1", "entry2"):
         fleet.accept(
             EntryJoin(
--- a/tests/jobs/test_quarantine.py
+++ b/tests/jobs/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Workers that fail everything get no more jobs; jobs that fail everywhere prove nothing."""
+"""Quarantine of workers that fail all jobs, without counting jobs that fail everywhere."""
 
 from __future__ import annotations
 
@@ -15,8 +15,7 @@
 
 
 def test_three_different_jobs_quarantine_a_worker(fleet: Fleet) -> None:
-    # A worker with a broken disk fails each job within a second, so it is always the freest
-    # one and draws all jobs of the night.
+    # A faulty worker fails each job at once, so it is always free and would attract all jobs.
     fail(fleet, "sheetal:a", "w0")
     fail(fleet, "sheetal:a", "w0")
     fail(fleet, "sheetal:b", "w0")
@@ -38,8 +37,8 @@
 
 
 def test_jobs_that_fail_everywhere_release_the_workers(fleet: Fleet) -> None:
-    # One team's broken release fails on every worker. The first failures look like a broken
-    # worker; the retries elsewhere show that the jobs are at fault.
+    # The jobs of a broken release fail on every worker. The first failures look like a faulty
+    # worker; retries on other workers show that the jobs are at fault.
     for name in ("sheetal:a", "sheetal:b", "sheetal:c"):
         fail(fleet, name, "w0")
     assert is_quarantined(fleet.state, "w0")
@@ -49,7 +48,7 @@
 
 
 def test_quarantine_takes_a_bounded_share_of_a_pool(fleet: Fleet) -> None:
-    # A lost store makes every worker fail. With all of them in quarantine nothing would run.
+    # If a shared dependency fails on every worker, most of the pool must stay in service.
     for worker in ("w0", "w1", "w2"):
         for number in range(3):
             fail(fleet, f"sheetal:{worker}-{number}", worker)
--- a/tests/jobs/test_reducer.py
+++ b/tests/jobs/test_reducer.py
@@ -1,4 +1,4 @@
-"""Submissions, placements and retries as the fold decides them."""
+"""Decisions of the fold about submissions, placements and retries."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 def test_a_resubmission_finds_the_same_job(fleet: Fleet) -> None:
     # The answer to a submission is lost and the owner submits again: during the run, after it,
-    # and with another spec. A second run would bill a retailer twice.
+    # and with another spec. The job must not run a second time.
     task = fleet.run("w0")
     assert fleet.accept(JobSubmit(job=JOB, team=TEAM, spec=spec_of())).version == 3
     fleet.end(task)
@@ -45,8 +45,8 @@
 
 
 def test_a_finished_job_is_forgotten_after_its_time(fleet: Fleet) -> None:
-    # A job of the same name comes after the old one was forgotten. The platform may still know
-    # the old task; under the same task id the new job would count as done without a run.
+    # A job with the same id is submitted after the old one was removed. With the same task id,
+    # the platform could report the old task's result for the new job.
     old = fleet.run("w0")
     fleet.end(old)
     fleet.now_ms += FINISHED_RETENTION_MS
@@ -58,8 +58,8 @@
 
 
 def test_the_first_of_two_racing_placements_wins(fleet: Fleet) -> None:
-    # Two entry instances place the same version of a job on different workers. The second one
-    # must not start anything.
+    # Two entry instances place the same version of a job on different workers. The second
+    # placement must not start a task.
     fleet.submit()
     first, second = fleet.placement("w0"), fleet.placement("w1")
     fleet.accept(first)
@@ -69,7 +69,7 @@
 
 
 def test_racing_placements_do_not_overfill_a_worker(fleet: Fleet) -> None:
-    # Both placers see 4,000 MiB free and each places a job of 3,000 there.
+    # Two placers see 4,000 MiB free on a worker, and each places a job of 3,000 MiB there.
     fleet.submit("sheetal:a", spec_of(memory_mib=3_000))
     fleet.submit("sheetal:b", spec_of(memory_mib=3_000))
     fleet.accept(fleet.placement("w0", "sheetal:a"))
@@ -79,7 +79,7 @@
 def test_without_the_check_in_the_fold_a_worker_is_overfilled(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The checker has to see what the safeguard above prevents.
+    # The invariant check must find what the safeguard in the previous test prevents.
     monkeypatch.setattr("heatherkeel.jobs.placing.find_shortage", lambda *_: None)
     for name in ("sheetal:a", "sheetal:b"):
         fleet.submit(name, spec_of(memory_mib=3_000))
@@ -90,7 +90,7 @@
 
 
 def test_racing_placements_do_not_overdraw_a_quota(fleet: Fleet) -> None:
-    # The quota has room for one of the two jobs, and both are placed on different workers.
+    # The quota suffices for one of two jobs that are placed on different workers.
     fleet.accept(put(TEAM, TeamEntry(owner=TEAM, cpu_quota=8, memory_quota_mib=1_500), version=1))
     for name in ("sheetal:a", "sheetal:b"):
         fleet.submit(name)
@@ -119,7 +119,7 @@
 
 
 def test_a_job_that_never_started_keeps_its_attempts(fleet: Fleet) -> None:
-    # A worker refuses a ledger job that may run once. It did not run, so it goes elsewhere.
+    # A worker refuses a job with a single attempt. It didn't run, so another worker may run it.
     fleet.submit(JOB, spec_of(max_attempts=1))
     fleet.place("w0")
     fleet.end(fleet.task(), TaskExit.REFUSED, ran=False)
@@ -130,8 +130,8 @@
 
 
 def test_a_task_seen_running_cannot_be_proved_not_to_have_run(fleet: Fleet) -> None:
-    # Two answers of the platform contradict each other. The one that says more about possible
-    # effects in the world counts, or the ledger would be written twice.
+    # If two reports of the platform contradict each other, the one that the task ran must count,
+    # or the ledger would be written twice.
     task = fleet.run("w0")
     assert fleet.refuse(TaskProvedNotStarted(task=task)) is RejectReason.WRONG_STATE
     fleet.end(task, TaskExit.REFUSED, ran=False)
@@ -145,7 +145,7 @@
     running = fleet.run("w0", names[0])
     fleet.accept(JobCancel(jobs=(*names, "sheetal:nobody"), team=TEAM))
     assert {fleet.status(name) for name in names[1:]} == {JobStatus.CANCELLED}
-    # The one with a task is not called cancelled before the platform says how it ended.
+    # A job with a task isn't cancelled before the platform reports the end of the task.
     assert [effect.task for effect in fleet.effects if isinstance(effect, StopTask)] == [running]
     assert fleet.status(names[0]) is JobStatus.RUNNING
     fleet.end(running, TaskExit.STOPPED)
@@ -155,7 +155,7 @@
 
 
 def test_a_job_that_can_never_run_ends_with_the_reason(fleet: Fleet) -> None:
-    # No worker of the pool is large enough. Left queued, it would block its owner for ever.
+    # No worker of the pool is large enough, so the job would stay queued forever.
     fleet.submit(JOB, spec_of(memory_mib=5_000))
     fleet.submit("sheetal:fits")
     fleet.accept(JobUnplaceable(jobs=(JOB, "sheetal:fits")))
@@ -173,8 +173,8 @@
 
 
 def test_sizes_are_learned_from_what_a_family_used(fleet: Fleet) -> None:
-    # Owners declare 1,000 MiB and use 2,000. By the declared size four jobs share a worker of
-    # 4,000 MiB, and all of them are killed when memory runs out.
+    # Jobs declare 1,000 MiB and use 2,000. Placed by declared size, four jobs on a worker with
+    # 4,000 MiB would run out of memory.
     for number in range(3):
         name = f"sheetal:day{number}"
         fleet.end(fleet.run("w0", name), peak_memory_mib=2_000, cpu_millicores=100)
@@ -186,7 +186,7 @@
 
 
 def test_a_learned_size_above_every_worker_takes_a_whole_one(fleet: Fleet) -> None:
-    # Without the cut, a job that fits by its declared size would wait for ever.
+    # Without the limit, a job that fits by its declared size would wait forever.
     for number in range(3):
         fleet.end(fleet.run("w0", f"sheetal:day{number}"), peak_memory_mib=9_000)
     fleet.run("w1")
@@ -195,7 +195,7 @@
 
 
 def test_use_above_the_reservation_closes_the_room(fleet: Fleet) -> None:
-    # A lagging report shows a task at 3,500 of 1,000 MiB: the next job of 1,000 must go elsewhere.
+    # A task uses 3,500 MiB of its reserved 1,000, so the next job doesn't fit on this worker.
     task = fleet.run("w0")
     sample = UsageSample(task=task, peak_memory_mib=3_500, cpu_millicores=5_000)
     fleet.accept(UsageReport(samples=(sample,)))
