--- a/tests/jobs/test_golden.py
+++ b/tests/jobs/test_golden.py
@@ -19,38 +19,38 @@
 from .conftest import JOB, TEAM, Fleet
 
 
-def test_a_ledger_job_through_a_lapsed_lease(snapshot: SnapshotAssertion) -> None:
+def test_ledger_job_after_an_expired_lease(snapshot: SnapshotAssertion) -> None:
     # The worker is partitioned while the job runs, its lease expires and the worker reboots, so
     # the job's progress is unknown. The owner decides to run it again.
     fleet = Fleet()
     lines: list[str] = []
 
-    def say(body: RecordBody) -> None:
+    def append(body: RecordBody) -> None:
         fleet.now_ms += 1_000
         fleet.accept(body)
         lines.append(f"{fleet.now_ms:6} {type(body).__name__}")
-        lines.extend(f"         {_words(effect)}" for effect in fleet.effects)
+        lines.extend(f"         {_describe(effect)}" for effect in fleet.effects)
 
     def lost(evidence: LossEvidence) -> TaskLost:
         return TaskLost(task=task, expected_version=fleet.job().version, evidence=evidence)
 
     fleet.submit()
-    say(fleet.placement("w0"))
+    append(fleet.placement("w0"))
     task = fleet.task()
-    say(TaskStarted(task=task))
-    say(lost(LossEvidence.LEASE_LAPSED))
-    say(lost(LossEvidence.TASK_GONE))
+    append(TaskStarted(task=task))
+    append(lost(LossEvidence.LEASE_LAPSED))
+    append(lost(LossEvidence.TASK_GONE))
     version = fleet.job().version
     resolved = Resolution.RUN_AGAIN
-    say(JobResolve(job=JOB, team=TEAM, expected_version=version, resolution=resolved))
-    say(fleet.placement("w1"))
-    say(TaskStarted(task=fleet.task()))
-    say(TaskEnded(task=fleet.task(), exit=TaskExit.SUCCEEDED))
+    append(JobResolve(job=JOB, team=TEAM, expected_version=version, resolution=resolved))
+    append(fleet.placement("w1"))
+    append(TaskStarted(task=fleet.task()))
+    append(TaskEnded(task=fleet.task(), exit=TaskExit.SUCCEEDED))
     lines.append(str(to_jsonable(fleet.state.jobs.finished)))
     assert "\n".join(lines) == snapshot
 
 
-def _words(effect: Effect) -> str:
+def _describe(effect: Effect) -> str:
     match effect:
         case JobChanged():
             return f"{effect.job} v{effect.version} {effect.status} {effect.reason}".rstrip()
--- a/tests/jobs/test_leases.py
+++ b/tests/jobs/test_leases.py
@@ -22,7 +22,7 @@
 
 from .conftest import JOB, TEAM, Fleet, spec_of
 
-LAPSED = LossEvidence.LEASE_LAPSED
+EXPIRED = LossEvidence.LEASE_LAPSED
 GONE = LossEvidence.TASK_GONE
 
 
@@ -38,11 +38,11 @@
     )
 
 
-def test_a_ledger_job_through_a_lapsed_lease_waits_for_proof(fleet: Fleet) -> None:
+def test_a_job_with_an_expired_lease_waits_for_proof(fleet: Fleet) -> None:
     # The worker is partitioned while the task runs, and reconnects. Starting the job again in the
     # meantime would write the ledger twice.
     task = fleet.run("w0")
-    fleet.accept(lost(fleet, LAPSED))
+    fleet.accept(lost(fleet, EXPIRED))
     assert fleet.status() is JobStatus.UNKNOWN
     assert fleet.job().reason == "lease lapsed on w0: it may have run, or be running"
     assert fleet.refuse(fleet.placement("w1")) is RejectReason.WRONG_STATE
@@ -55,7 +55,7 @@
 def test_an_unknown_job_that_never_started_runs_again(fleet: Fleet) -> None:
     fleet.submit()
     fleet.place("w0")
-    fleet.accept(lost(fleet, LAPSED))
+    fleet.accept(lost(fleet, EXPIRED))
     fleet.accept(TaskProvedNotStarted(task=fleet.task()))
     fleet.end(fleet.run("w1"))
     assert fleet.status() is JobStatus.SUCCEEDED
@@ -64,7 +64,7 @@
 def test_an_unknown_job_that_was_seen_running_is_not_proved_unstarted(fleet: Fleet) -> None:
     # The platform lost its record of the start and now reports that the task never started.
     task = fleet.run("w0")
-    fleet.accept(lost(fleet, LAPSED))
+    fleet.accept(lost(fleet, EXPIRED))
     assert fleet.refuse(TaskProvedNotStarted(task=task)) is RejectReason.WRONG_STATE
     assert fleet.status() is JobStatus.UNKNOWN
 
@@ -82,7 +82,7 @@
 
 def test_an_owner_who_gives_up_ends_an_unknown_job(fleet: Fleet) -> None:
     task = fleet.run("w0")
-    fleet.accept(lost(fleet, LAPSED))
+    fleet.accept(lost(fleet, EXPIRED))
     fleet.accept(resolve(fleet, Resolution.GIVE_UP))
     assert fleet.status() is JobStatus.FAILED
     assert [effect.task for effect in fleet.effects if isinstance(effect, StopTask)] == [task]
@@ -92,7 +92,7 @@
     assert fleet.state.jobs.loads == {}
 
 
-def test_the_last_gate_refuses_a_second_run(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_placement_refuses_a_second_run(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> None:
     # A faulty expiry rule queues the job again. The placement must be refused; with that check
     # disabled as well, the invariant check finds the second run.
     fleet.run("w0")
@@ -105,12 +105,12 @@
         fleet.append(fleet.placement("w1"))
 
 
-def test_an_idempotent_job_runs_on_and_its_old_task_keeps_its_room(fleet: Fleet) -> None:
+def test_an_idempotent_job_runs_again_and_its_old_task_stays_reserved(fleet: Fleet) -> None:
     # The worker reconnects with its task still running. Its memory must still be reserved, and
     # the old task is stopped as soon as it is reported.
     fleet.submit(JOB, spec_of(idempotent=True, memory_mib=3_000))
     old = fleet.run("w0")
-    fleet.accept(lost(fleet, LAPSED))
+    fleet.accept(lost(fleet, EXPIRED))
     fleet.now_ms += 60_000
     assert fleet.refuse(fleet.placement("w0")) is RejectReason.IN_USE
     fleet.run("w1")
@@ -123,23 +123,23 @@
 def test_a_late_success_of_a_queued_job_counts(fleet: Fleet) -> None:
     fleet.submit(JOB, spec_of(idempotent=True))
     old = fleet.run("w0")
-    fleet.accept(lost(fleet, LAPSED))
+    fleet.accept(lost(fleet, EXPIRED))
     fleet.end(old)
     assert fleet.status() is JobStatus.SUCCEEDED
 
 
-def test_a_paused_observer_cannot_report_an_old_lapse(fleet: Fleet) -> None:
+def test_a_paused_observer_cannot_report_an_outdated_expiry(fleet: Fleet) -> None:
     # An entry instance is paused and reports an expired lease after the worker is back and the
     # job runs again. Its report has an outdated version.
     task = fleet.run("w0")
-    late = lost(fleet, LAPSED)
-    fleet.accept(lost(fleet, LAPSED))
+    late = lost(fleet, EXPIRED)
+    fleet.accept(lost(fleet, EXPIRED))
     fleet.accept(TaskStarted(task=task))
     assert fleet.refuse(late) is RejectReason.STALE_VERSION
     assert fleet.status() is JobStatus.RUNNING
 
 
-def test_a_drain_checkpoints_and_the_job_goes_on_elsewhere(fleet: Fleet) -> None:
+def test_a_drained_job_resumes_on_another_worker(fleet: Fleet) -> None:
     fleet.submit(JOB, spec_of(checkpointable=True))
     task = fleet.run("w0")
     job = fleet.job()
@@ -154,7 +154,7 @@
     fleet.run("w1")
     assert fleet.job().checkpoint == task and fleet.job().resumed
     # While the resumed task may still run, the job is unknown; once it is gone, the job resumes.
-    fleet.accept(lost(fleet, LAPSED))
+    fleet.accept(lost(fleet, EXPIRED))
     assert fleet.status() is JobStatus.UNKNOWN
     fleet.accept(lost(fleet, GONE))
     fleet.end(fleet.run("w2"))
--- a/tests/jobs/test_machine.py
+++ b/tests/jobs/test_machine.py
@@ -47,7 +47,7 @@
 
     name: str
     state: FleetState
-    to_do: list[RecordBody | Effect] = field(default_factory=list)
+    pending: list[RecordBody | Effect] = field(default_factory=list)
     views: dict[str, TaskView] = field(default_factory=dict)
     seen: int = 0
 
@@ -105,17 +105,17 @@
         """Read the log and the tasks, and queue the resulting records and effects."""
         entry = self.entries[name]
         self.follow(entry)
-        self.look(entry)
+        self.read_tasks(entry)
         request = RoundRequest(placer=name)
-        entry.to_do += observation_records(entry.state, entry.views.values())
-        entry.to_do += POLICIES[ENTRIES[name]](entry.state, request).records
-        entry.to_do += find_due_effects(entry.state, entry.views, name)
+        entry.pending += observation_records(entry.state, entry.views.values())
+        entry.pending += POLICIES[ENTRIES[name]](entry.state, request).records
+        entry.pending += find_due_effects(entry.state, entry.views, name)
 
     @rule(name=st.sampled_from(sorted(ENTRIES)), count=st.integers(1, 6), twice=st.booleans())
     def act(self, name: str, count: int, twice: bool) -> None:
         """Apply the oldest pending records and effects, even if they are outdated."""
         entry = self.entries[name]
-        doing, entry.to_do = entry.to_do[:count], entry.to_do[count:]
+        doing, entry.pending = entry.pending[:count], entry.pending[count:]
         for item in doing:
             if isinstance(item, RecordBody):
                 self.append(item, twice=twice)
@@ -134,10 +134,10 @@
         for record in self.log[entry.state.next_offset - self.first :]:
             for effect in fold(entry.state, record):
                 if not isinstance(effect, StartTask) or effect.placer == entry.name:
-                    entry.to_do.append(effect)
+                    entry.pending.append(effect)
         assert canonical_bytes(entry.state) == canonical_bytes(self.reference)
 
-    def look(self, entry: Entry) -> None:
+    def read_tasks(self, entry: Entry) -> None:
         listed = self.table.changed_since(entry.seen)
         entry.seen = listed.upto
         entry.views.update({view.task: view for view in listed.tasks})
--- a/tests/jobs/test_policy.py
+++ b/tests/jobs/test_policy.py
@@ -43,7 +43,7 @@
     assert workers_of(do_round(fleet)) == {"w0": 2, "w1": 2, "w2": 2}
 
 
-def test_a_job_goes_where_it_leaves_least_room_over() -> None:
+def test_best_fit_leaves_the_least_capacity_free() -> None:
     # Of two workers in one zone, one is half full. The small job must go there, so that the
     # empty worker stays free for a large job.
     fleet = Fleet(workers=1)
@@ -74,7 +74,7 @@
     assert order == ["agency:now", "sheetal:j0", "agency:night"]
 
 
-def test_an_urgent_job_gets_room_by_the_fewest_checkpoints() -> None:
+def test_an_urgent_job_preempts_the_fewest_jobs() -> None:
     # All workers are full of batch jobs. Preempting the large job is enough; the other worker
     # would need two preemptions.
     fleet = Fleet(workers=2)
@@ -95,7 +95,7 @@
     assert fleet.status("sheetal:now") is JobStatus.PLACED
 
 
-def test_an_urgent_job_above_its_quota_moves_its_own_team_only(fleet: Fleet) -> None:
+def test_an_urgent_job_above_its_quota_preempts_only_its_own_team(fleet: Fleet) -> None:
     fleet.run("w0", "sheetal:a", spec_of(checkpointable=True))
     fleet.accept(put(TEAM, TeamEntry(owner=TEAM, cpu_quota=1, memory_quota_mib=9_000), version=1))
     fleet.submit("sheetal:now", spec_of(service_class=URGENT))
@@ -113,7 +113,7 @@
     assert planned.placed == 3 and planned.waiting == {"no_room": 1}
 
 
-def test_drains_wait_for_what_ends_soon_and_move_the_rest(fleet: Fleet) -> None:
+def test_drains_wait_for_jobs_that_end_soon_and_move_the_others(fleet: Fleet) -> None:
     # A drain must not move jobs that have only a minute left to run.
     fleet.run("w0", "sheetal:short", spec_of(checkpointable=True))
     fleet.run("w0", "sheetal:fixed", spec_of(checkpointable=False))
@@ -172,7 +172,7 @@
     assert "entry2" not in after.values()
 
 
-def test_the_second_in_line_takes_over_for_an_urgent_job(fleet: Fleet) -> None:
+def test_the_standby_placer_takes_over_for_an_urgent_job(fleet: Fleet) -> None:
     # The placer crashes with a valid lease. An urgent job must not wait until the lease expires.
     for name in ("entry1", "entry2"):
         fleet.accept(
--- a/tests/jobs/test_quarantine.py
+++ b/tests/jobs/test_quarantine.py
@@ -47,7 +47,7 @@
     assert fleet.state.jobs.workers.get("w1") is None
 
 
-def test_quarantine_takes_a_bounded_share_of_a_pool(fleet: Fleet) -> None:
+def test_quarantine_is_limited_to_a_part_of_a_pool(fleet: Fleet) -> None:
     # If a shared dependency fails on every worker, most of the pool must stay in service.
     for worker in ("w0", "w1", "w2"):
         for number in range(3):
--- a/tests/jobs/test_reducer.py
+++ b/tests/jobs/test_reducer.py
@@ -44,7 +44,7 @@
     assert fleet.refuse(other) is RejectReason.ALREADY_EXISTS
 
 
-def test_a_finished_job_is_forgotten_after_its_time(fleet: Fleet) -> None:
+def test_a_finished_job_is_removed_after_its_retention(fleet: Fleet) -> None:
     # A job with the same id is submitted after the old one was removed. With the same task id,
     # the platform could report the old task's result for the new job.
     old = fleet.run("w0")
@@ -68,7 +68,7 @@
     assert fleet.effects == []
 
 
-def test_racing_placements_do_not_overfill_a_worker(fleet: Fleet) -> None:
+def test_racing_placements_do_not_overcommit_a_worker(fleet: Fleet) -> None:
     # Two placers see 4,000 MiB free on a worker, and each places a job of 3,000 MiB there.
     fleet.submit("sheetal:a", spec_of(memory_mib=3_000))
     fleet.submit("sheetal:b", spec_of(memory_mib=3_000))
@@ -76,7 +76,7 @@
     assert fleet.refuse(fleet.placement("w0", "sheetal:b")) is RejectReason.IN_USE
 
 
-def test_without_the_check_in_the_fold_a_worker_is_overfilled(
+def test_without_the_check_in_the_fold_a_worker_is_overcommitted(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The invariant check must find what the safeguard in the previous test prevents.
@@ -89,7 +89,7 @@
     assert [found.where for found in find_violations(fleet.state)] == ["w0"]
 
 
-def test_racing_placements_do_not_overdraw_a_quota(fleet: Fleet) -> None:
+def test_racing_placements_do_not_exceed_a_quota(fleet: Fleet) -> None:
     # The quota suffices for one of two jobs that are placed on different workers.
     fleet.accept(put(TEAM, TeamEntry(owner=TEAM, cpu_quota=8, memory_quota_mib=1_500), version=1))
     for name in ("sheetal:a", "sheetal:b"):
@@ -138,7 +138,7 @@
     assert fleet.status() is JobStatus.FAILED
 
 
-def test_cancellations_come_in_waves(fleet: Fleet) -> None:
+def test_many_jobs_are_cancelled_by_one_record(fleet: Fleet) -> None:
     names = [f"sheetal:j{number}" for number in range(900)]
     for name in names:
         fleet.submit(name)
@@ -185,7 +185,7 @@
     assert (reserved.memory_mib, reserved.cpu_millicores) == (2_300, 115)
 
 
-def test_a_learned_size_above_every_worker_takes_a_whole_one(fleet: Fleet) -> None:
+def test_a_learned_size_above_every_worker_is_limited_to_one(fleet: Fleet) -> None:
     # Without the limit, a job that fits by its declared size would wait forever.
     for number in range(3):
         fleet.end(fleet.run("w0", f"sheetal:day{number}"), peak_memory_mib=9_000)
@@ -194,7 +194,7 @@
     assert reserved is not None and reserved.memory_mib == 4_000
 
 
-def test_use_above_the_reservation_closes_the_room(fleet: Fleet) -> None:
+def test_usage_above_the_reservation_reduces_free_capacity(fleet: Fleet) -> None:
     # A task uses 3,500 MiB of its reserved 1,000, so the next job doesn't fit on this worker.
     task = fleet.run("w0")
     sample = UsageSample(task=task, peak_memory_mib=3_500, cpu_millicores=5_000)
@@ -207,7 +207,7 @@
     fleet.place("w0", "sheetal:next")
 
 
-def test_evidence_about_another_attempt_changes_nothing(fleet: Fleet) -> None:
+def test_reports_about_another_attempt_change_nothing(fleet: Fleet) -> None:
     fleet.submit(JOB, spec_of(idempotent=True))
     old = fleet.run("w0")
     fleet.end(old, TaskExit.FAILED)
