--- a/heatherkeel/jobs/best_fit.py
+++ b/heatherkeel/jobs/best_fit.py
@@ -67,7 +67,7 @@
         context.planned.count_waiting("no_worker")
         return
     team = context.queue.teams[job_team(job_id)]
-    need = clip_need(_size(context, job_id, job), job.spec.size, pool.largest, team.quota)
+    need = clip_need(_expected_size(context, job_id, job), job.spec.size, pool.largest, team.quota)
     if not team.has_quota_for(need):
         _wait_or_preempt(context, job_id, job, need, quota_left=team.remaining())
         return
@@ -94,7 +94,7 @@
     context.planned.count_waiting("checkpoint_of_others" if records else reason)
 
 
-def _size(context: _RoundContext, job_id: str, job: Job) -> Resources:
+def _expected_size(context: _RoundContext, job_id: str, job: Job) -> Resources:
     """Return the expected size, cached by family and declared size."""
     key = (family_key(job_id, job), job.spec.size)
     size = context.sizes.get(key)
--- a/heatherkeel/jobs/duty.py
+++ b/heatherkeel/jobs/duty.py
@@ -169,7 +169,7 @@
                 nursery.start_soon(self._async_apply_effect, effect)
 
     async def _async_apply_effect(self, effect: TaskEffect) -> None:
-        """Make the platform call of one effect; a later round repeats it if it fails."""
+        """Make the platform call of one effect; a failed call is logged, and repeated if due."""
         async with self.call_limiter:
             outcome = await self._async_call_platform(effect)
         match outcome:
--- a/heatherkeel/jobs/models.py
+++ b/heatherkeel/jobs/models.py
@@ -80,8 +80,9 @@
 
 
 class Job(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """A job that isn't finished; times in log milliseconds.
+    """A live job, decided by the fold from records of the log; times in log milliseconds.
 
+    Jobs of heatherkeel.dispatch are separate: they are decided by the owner of a partition.
     A struct instead of a data class, so that snapshots omit fields with their default value.
     """
 
