--- a/heatherkeel/jobs/checks.py
+++ b/heatherkeel/jobs/checks.py
@@ -1,4 +1,4 @@
-"""Checkers of what must always hold for jobs."""
+"""Invariant checks for the state of jobs."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from heatherkeel.core.state import FleetState
 from heatherkeel.pools.models import InstanceStatus
 
-from .models import HOLDING, JobStatus, Load, Resources, job_team
-from .reservations import capacity_of, overrun_of
+from .models import ACTIVE_STATUSES, JobStatus, Load, Resources, job_team
+from .reservations import capacity_of, memory_overrun
 
 
 @checks("non_idempotent_job_runs_at_most_once")
 def check_runs(state: FleetState) -> Iterator[Violation]:
-    """Find jobs of which more attempts may have run than the owner allowed."""
+    """Find jobs that aren't idempotent and may have run more often than allowed."""
     for job_id, job in state.jobs.live.items():
         if not job.spec.idempotent and job.runs > job.runs_allowed:
             detail = f"{job.runs} runs, {job.runs_allowed} allowed"
@@ -24,7 +24,7 @@
 
 @checks("no_accepted_job_vanishes")
 def check_jobs_kept(state: FleetState) -> Iterator[Violation]:
-    """Find out whether an accepted job is neither live, nor finished, nor forgotten in time."""
+    """Check that each accepted job is either live, finished or removed after its retention."""
     jobs = state.jobs
     kept = len(jobs.live) + len(jobs.finished) + jobs.forgotten
     if kept != jobs.accepted or sum(jobs.remembered.values()) + jobs.forgotten != jobs.accepted:
@@ -36,10 +36,12 @@
 
 @checks("job_status_matches_what_it_holds")
 def check_status(state: FleetState) -> Iterator[Violation]:
-    """Find jobs with a task that hold no worker, and queued ones that hold one."""
+    """Find jobs with a task but no reservation, queued jobs with one, and finished live jobs."""
     for job_id, job in state.jobs.live.items():
         holds = job.reserved is not None
-        wrong = (job.status in HOLDING and not holds) or (job.status is JobStatus.QUEUED and holds)
+        wrong = (job.status in ACTIVE_STATUSES and not holds) or (
+            job.status is JobStatus.QUEUED and holds
+        )
         if wrong or job.status in (JobStatus.SUCCEEDED, JobStatus.FAILED, JobStatus.CANCELLED):
             detail = f"{job.status}, holds: {holds}"
             yield _violation(state, "job_status_matches_what_it_holds", job_id, detail)
@@ -47,40 +49,39 @@
 
 @checks("worker_capacity_holds_for_jobs")
 def check_capacity(state: FleetState) -> Iterator[Violation]:
-    """Find workers that have less than their tasks hold, or whose account is wrong."""
-    expected, _ = _recount(state)
+    """Find workers that are overcommitted, or whose recorded load is wrong."""
+    expected, _ = _recompute_loads(state)
     yield from _differences(state, "worker_capacity_holds_for_jobs", expected, state.jobs.loads)
     for instance_id, load in expected.items():
         instance = state.pools.instances.get(instance_id)
         if instance is None:
             continue
         capacity = capacity_of(instance)
-        over = (
+        overcommitted = (
             load.cpu_millicores > capacity.cpu_millicores
             or load.memory_mib > capacity.memory_mib
             or load.accelerators > capacity.accelerators
         )
-        if over:
+        if overcommitted:
             detail = f"holds {load}, has {capacity}"
             yield _violation(state, "worker_capacity_holds_for_jobs", instance_id, detail)
 
 
 @checks("team_usage_is_booked_rightly")
 def check_team_usage(state: FleetState) -> Iterator[Violation]:
-    """Find teams whose account differs from what their jobs hold.
+    """Find teams whose recorded usage differs from the reservations of their jobs.
 
-    A quota that an operator lowers below what runs ends no job, so the quota itself is checked
-    where a job is placed.
+    The quota isn't checked here, as an operator may lower it below the current usage.
     """
-    _, expected = _recount(state)
+    _, expected = _recompute_loads(state)
     yield from _differences(state, "team_usage_is_booked_rightly", expected, state.jobs.teams)
 
 
 @checks("planned_stop_cuts_no_job")
 def check_planned_stops(state: FleetState) -> Iterator[Violation]:
-    """Find jobs whose instance was stopped on purpose under them."""
+    """Find active jobs on an instance that was stopped by a planned drain."""
     for job_id, job in state.jobs.live.items():
-        if job.status not in HOLDING:
+        if job.status not in ACTIVE_STATUSES:
             continue
         instance = state.pools.instances.get(job.instance)
         drain = state.waves.drains.get(job.instance)
@@ -90,14 +91,14 @@
             yield _violation(state, "planned_stop_cuts_no_job", job_id, detail)
 
 
-def _recount(state: FleetState) -> tuple[dict[str, Load], dict[str, Load]]:
-    """Count anew what is held of workers and of quotas, from the jobs themselves."""
+def _recompute_loads(state: FleetState) -> tuple[dict[str, Load], dict[str, Load]]:
+    """Recompute the loads of workers and teams from the jobs."""
     loads: dict[str, Load] = {}
     teams: dict[str, Load] = {}
     for job_id, job in state.jobs.live.items():
         if job.reserved is None:
             continue
-        _add(loads.setdefault(job.instance, Load()), job.reserved, overrun_of(job))
+        _add(loads.setdefault(job.instance, Load()), job.reserved, memory_overrun(job))
         _add(teams.setdefault(job_team(job_id), Load()), job.reserved, 0)
     for orphan in state.jobs.orphans.values():
         _add(loads.setdefault(orphan.instance, Load()), orphan.reserved, 0)
@@ -113,11 +114,11 @@
 
 
 def _differences(
-    state: FleetState, promise: str, expected: dict[str, Load], booked: dict[str, Load]
+    state: FleetState, promise: str, expected: dict[str, Load], recorded: dict[str, Load]
 ) -> Iterator[Violation]:
-    for key in expected.keys() | booked.keys():
-        if expected.get(key) != booked.get(key):
-            detail = f"holds {expected.get(key)}, booked {booked.get(key)}"
+    for key in expected.keys() | recorded.keys():
+        if expected.get(key) != recorded.get(key):
+            detail = f"holds {expected.get(key)}, recorded {recorded.get(key)}"
             yield _violation(state, promise, key, detail)
 
 
--- a/heatherkeel/jobs/fairness.py
+++ b/heatherkeel/jobs/fairness.py
@@ -1,4 +1,4 @@
-"""The order of queued jobs: urgent first, then the team that uses least of its quota."""
+"""Order of queued jobs: by service class, then by the teams' dominant share of their quota."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 from .models import Job, Resources, job_team
 from .reservations import quota_of
 
-_SHARE_UNITS = 1_000_000
+_FRACTION_UNITS = 1_000_000
 _NO_QUOTA = Resources()
 
 
 @dataclass(kw_only=True, slots=True)
-class TeamUse:
-    """What a team uses in this round, against its quota."""
+class TeamUsage:
+    """Usage and quota of a team in this round."""
 
     quota: Resources
     cpu_millicores: int = 0
     memory_mib: int = 0
     accelerators: int = 0
 
-    def share(self) -> int:
-        """Return the largest share, in millionths, that the team uses of any of its quotas."""
+    def dominant_share(self) -> int:
+        """Return the dominant share: the largest used fraction of any quota, in millionths."""
         return max(
-            _share(self.cpu_millicores, self.quota.cpu_millicores),
-            _share(self.memory_mib, self.quota.memory_mib),
-            _share(self.accelerators, self.quota.accelerators),
+            _used_fraction(self.cpu_millicores, self.quota.cpu_millicores),
+            _used_fraction(self.memory_mib, self.quota.memory_mib),
+            _used_fraction(self.accelerators, self.quota.accelerators),
         )
 
-    def has(self, need: Resources) -> bool:
-        """Say whether the quota has room for a need."""
+    def has_quota_for(self, need: Resources) -> bool:
+        """Return whether the remaining quota covers a need."""
         return (
             self.cpu_millicores + need.cpu_millicores <= self.quota.cpu_millicores
             and self.memory_mib + need.memory_mib <= self.quota.memory_mib
             and self.accelerators + need.accelerators <= self.quota.accelerators
         )
 
-    def left(self) -> Resources:
-        """Return what is left of the quota; nothing of one that was lowered below the use."""
+    def remaining(self) -> Resources:
+        """Return the remaining quota, at least 0 of each resource."""
         return Resources(
             cpu_millicores=max(0, self.quota.cpu_millicores - self.cpu_millicores),
             memory_mib=max(0, self.quota.memory_mib - self.memory_mib),
@@ -50,7 +50,7 @@
         )
 
     def add(self, need: Resources) -> None:
-        """Count a placement."""
+        """Add the resources of a placement to the usage."""
         self.cpu_millicores += need.cpu_millicores
         self.memory_mib += need.memory_mib
         self.accelerators += need.accelerators
@@ -58,24 +58,24 @@
 
 @dataclass(kw_only=True, slots=True)
 class FairQueue:
-    """Hands out queued jobs; the caller counts each placement by `TeamUse.add`, before the next.
+    """Queue of one round; the caller adds each placement to its `TeamUsage` before the next `pop`.
 
-    Within a class the team with the smallest dominant share comes next, so that a team that
-    submits ten thousand jobs at once can't push the others back by more than its quota's worth.
+    Within a service class, the team with the smallest dominant share comes next, so that a team
+    with a large backlog can't starve the others.
     """
 
-    teams: dict[str, TeamUse] = field(default_factory=dict)
+    teams: dict[str, TeamUsage] = field(default_factory=dict)
     queues: dict[ServiceClass, dict[str, deque[str]]] = field(default_factory=dict)
     heaps: dict[ServiceClass, list[tuple[int, str]]] = field(default_factory=dict)
 
     def pop(self) -> str | None:
-        """Return the next job, or None when all were handed out."""
+        """Return the next job, or None if the queue is empty."""
         for service_class in CLASS_ORDER:
             heap = self.heaps.get(service_class)
             while heap:
-                share, team = heappop(heap)
-                current = self.teams[team].share()
-                if current > share:
+                queued_share, team = heappop(heap)
+                current = self.teams[team].dominant_share()
+                if current > queued_share:
                     heappush(heap, (current, team))
                     continue
                 queue = self.queues[service_class][team]
@@ -93,27 +93,27 @@
     for job_id, job in ordered:
         team = job_team(job_id)
         if team not in queue.teams:
-            queue.teams[team] = _team_use(state, team)
+            queue.teams[team] = _team_usage(state, team)
         teams = queue.queues.setdefault(job.spec.service_class, {})
         teams.setdefault(team, deque()).append(job_id)
     for service_class, teams in queue.queues.items():
-        heap = [(queue.teams[team].share(), team) for team in teams]
+        heap = [(queue.teams[team].dominant_share(), team) for team in teams]
         heapify(heap)
         queue.heaps[service_class] = heap
     return queue
 
 
-def _team_use(state: FleetState, team: str) -> TeamUse:
-    use = TeamUse(quota=quota_of(state, team) or _NO_QUOTA)
+def _team_usage(state: FleetState, team: str) -> TeamUsage:
+    usage = TeamUsage(quota=quota_of(state, team) or _NO_QUOTA)
     load = state.jobs.teams.get(team)
     if load is not None:
-        use.cpu_millicores = load.cpu_millicores
-        use.memory_mib = load.memory_mib
-        use.accelerators = load.accelerators
-    return use
+        usage.cpu_millicores = load.cpu_millicores
+        usage.memory_mib = load.memory_mib
+        usage.accelerators = load.accelerators
+    return usage
 
 
-def _share(used: int, quota: int) -> int:
+def _used_fraction(used: int, quota: int) -> int:
     if used == 0:
         return 0
-    return used * _SHARE_UNITS // max(1, quota)
+    return used * _FRACTION_UNITS // max(1, quota)
--- a/heatherkeel/jobs/placing.py
+++ b/heatherkeel/jobs/placing.py
@@ -1,4 +1,4 @@
-"""Decides placements, and checkpoints that make room."""
+"""Decides placements of jobs, and checkpoints for preemptions and drains."""
 
 from __future__ import annotations
 
@@ -12,51 +12,51 @@
 
 from .const import HOLD_MS, START_WINDOW_MS
 from .models import (
-    LEAVING,
+    DRAINING_STATUSES,
     Hold,
     Job,
     JobStatus,
     StartTask,
     job_team,
+    latest_task_id,
     task_id,
-    task_of,
 )
 from .quarantine import is_quarantined
 from .records import CheckpointCause, JobCheckpoint, JobPlace
-from .reservations import find_shortage, held_for, need_of, quota_of, take
+from .reservations import find_shortage, held_for, quota_of, required_resources, reserve
 from .transitions import (
     accepted,
     checkpoint_task,
     may_run_again,
-    move,
     not_found,
-    stale,
+    set_status,
+    stale_version,
     wrong_state,
 )
 
 
 @handles("jobs.place", JobPlace)
 def place_job(state: FleetState, meta: RecordMeta, body: JobPlace) -> Result[Accepted, Rejected]:
-    """Bind the next attempt to a worker, if the job, the worker and the quota allow it."""
+    """Assign the next attempt to a worker, if the job, the worker and the quota allow it."""
     job = state.jobs.live.get(body.job)
     if job is None:
         return Err(not_found(body.job))
-    refusal = _check_job(meta, body, job) or _check_worker(state, body, job)
-    if refusal is not None:
-        return Err(refusal)
+    rejection = _check_job(meta, body, job) or _check_worker(state, body, job)
+    if rejection is not None:
+        return Err(rejection)
     team = job_team(body.job)
     quota = quota_of(state, team)
     if quota is None:
         return Err(Rejected(reason=RejectReason.QUOTA, detail=f"team {team} has no entry"))
-    need = need_of(state, body.job, job, state.pools.instances[body.instance], quota)
+    need = required_resources(state, body.job, job, state.pools.instances[body.instance], quota)
     shortage = find_shortage(state, team, quota, body.instance, need)
     if shortage is not None:
         return Err(shortage)
-    take(state, body.job, job, body.instance, need)
+    reserve(state, body.job, job, body.instance, need)
     _begin_attempt(job, body)
     if state.jobs.holds.get(body.instance, _NO_HOLD).job == body.job:
         del state.jobs.holds[body.instance]
-    changed = move(body.job, job, meta, JobStatus.PLACED)
+    changed = set_status(body.job, job, meta, JobStatus.PLACED)
     return Ok(accepted(job.version, changed, start_task(body.job, job)))
 
 
@@ -64,14 +64,14 @@
 
 
 def start_task(job_id: str, job: Job) -> StartTask:
-    """Return the effect that starts the newest attempt of a placed job.
+    """Return the effect that starts the latest attempt of a placed job.
 
-    The placer can die before it does so. The effect follows from the state alone and the task
-    id is always the same, so that any other process can do it again without a second run.
+    It depends on the state only and the task id is fixed, so any process can repeat it without a
+    second run if the placer crashes.
     """
     assert job.reserved is not None
     return StartTask(
-        task=task_of(job_id, job),
+        task=latest_task_id(job_id, job),
         job=job_id,
         instance=job.instance,
         placer=job.placer,
@@ -83,20 +83,19 @@
 
 
 def _check_job(meta: RecordMeta, body: JobPlace, job: Job) -> Rejected | None:
-    """Refuse a placement that the job doesn't allow.
+    """Return the rejection of a placement that the job doesn't allow, or None.
 
-    Several entry instances place at once and one may have been paused for long. The first
-    placement of a version wins; without this a job would be started by each of them.
+    Several entry instances may place the same version of a job; only the first placement is
+    accepted, or each of them would start the job.
     """
     if job.version != body.expected_version:
-        return stale(body.job, job)
+        return stale_version(body.job, job)
     if job.status is not JobStatus.QUEUED or job.cancelling:
         return wrong_state(body.job, job)
     if body.attempt != job.attempt + 1 or body.task != task_id(body.job, job, body.attempt):
         return wrong_state(body.job, job)
     if not may_run_again(job):
-        # The last gate before a second run of what must not be doubled: whatever queued the
-        # job again, an attempt that may have run counts against it here.
+        # Final check that a job isn't run twice, regardless of what queued it again.
         return Rejected(reason=RejectReason.CONFLICT, detail="it may have run before")
     if meta.now_ms < job.not_before_ms:
         return Rejected(reason=RejectReason.CONFLICT, detail="its retry is not due yet")
@@ -114,8 +113,8 @@
     if is_quarantined(state, body.instance):
         return Rejected(reason=RejectReason.IN_USE, detail=f"{body.instance} is in quarantine")
     if held_for(state, body.instance) not in ("", body.job):
-        # Room made by preemption must not go to whoever is quicker: the urgent job would wait
-        # for the next victim, and more work would be moved than was needed.
+        # Capacity freed by a preemption must not go to another job, or the urgent job would
+        # need further victims.
         return Rejected(reason=RejectReason.IN_USE, detail=f"{body.instance} is held")
     return None
 
@@ -139,20 +138,20 @@
     if job is None:
         return Err(not_found(body.job))
     if job.version != body.expected_version:
-        return Err(stale(body.job, job))
+        return Err(stale_version(body.job, job))
     running = job.status is JobStatus.RUNNING and job.attempt == body.attempt
     if not running or not job.spec.checkpointable:
         return Err(wrong_state(body.job, job))
     if body.cause is CheckpointCause.URGENT:
-        refusal = _check_preemption(state, body, job)
+        rejection = _check_preemption(state, body, job)
     else:
-        refusal = _check_drain(state, job)
-    if refusal is not None:
-        return Err(refusal)
+        rejection = _check_drain(state, job)
+    if rejection is not None:
+        return Err(rejection)
     if body.cause is CheckpointCause.URGENT:
         hold = Hold(job=body.for_job, until_ms=meta.now_ms + HOLD_MS)
         state.jobs.holds[job.instance] = hold
-    changed = move(body.job, job, meta, JobStatus.CHECKPOINTING, f"for {body.cause}")
+    changed = set_status(body.job, job, meta, JobStatus.CHECKPOINTING, f"for {body.cause}")
     return Ok(accepted(job.version, changed, checkpoint_task(body.job, job)))
 
 
@@ -173,6 +172,6 @@
 
 def _check_drain(state: FleetState, job: Job) -> Rejected | None:
     instance = state.pools.instances.get(job.instance)
-    if instance is None or instance.status not in LEAVING:
+    if instance is None or instance.status not in DRAINING_STATUSES:
         return Rejected(reason=RejectReason.WRONG_STATE, detail=f"{job.instance} is not draining")
     return None
--- a/heatherkeel/jobs/policy.py
+++ b/heatherkeel/jobs/policy.py
@@ -1,7 +1,6 @@
-"""Placement policies by name: functions from the folded state to the records of one round.
+"""Registry of placement policies: functions from the folded state to the records of one round.
 
-A policy only proposes. Whatever it overlooks or sees too late is refused by the fold, so a policy
-can be wrong without harm, and policies can be compared with each other.
+A policy only proposes placements; the fold checks each of them and refuses invalid ones.
 """
 
 from __future__ import annotations
@@ -15,17 +14,17 @@
 from heatherkeel.core.state import FleetState
 
 from .const import MAX_BATCH, MAX_PLACEMENTS_PER_ROUND
-from .feasibility import pool_shapes, why_never
+from .feasibility import permanent_obstacle, pool_shapes
 from .models import Job, JobStatus, task_id
 from .records import JobPlace, JobUnplaceable
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RoundRequest:
-    """What one round may do; `pools` and `jobs` None mean all of them.
+    """Scope and limits of one round; None for `pools` or `jobs` means all of them.
 
-    `now_ms` is the placer's estimate of log time. The state's own time stands still while nobody
-    writes, and a job whose retry has become due would wait for the next record.
+    `now_ms` is the placer's estimate of log time. The state's time advances only with new
+    records, and retries that are due must not wait for the next one.
     """
 
     placer: str
@@ -37,14 +36,14 @@
 
 @dataclass(kw_only=True, slots=True)
 class PlacementRound:
-    """The records to append, in order, and how many jobs wait for which reason."""
+    """Records to append, in order, and the number of waiting jobs by reason."""
 
     records: list[RecordBody] = field(default_factory=list)
     placed: int = 0
     waiting: dict[str, int] = field(default_factory=dict)
 
-    def wait(self, reason: str) -> None:
-        """Count one job that waits."""
+    def count_waiting(self, reason: str) -> None:
+        """Count one waiting job."""
         self.waiting[reason] = self.waiting.get(reason, 0) + 1
 
 
@@ -65,7 +64,7 @@
 
 
 def placement(job_id: str, job: Job, instance_id: str, placer: str) -> JobPlace:
-    """Return the record that binds the next attempt of a job to a worker."""
+    """Return the record that assigns the next attempt of a job to a worker."""
     attempt = job.attempt + 1
     return JobPlace(
         job=job_id,
@@ -77,16 +76,16 @@
     )
 
 
-def wanted_jobs(state: FleetState, request: RoundRequest) -> Mapping[str, Job]:
-    """Return the live jobs that a round looks at."""
+def jobs_in_scope(state: FleetState, request: RoundRequest) -> Mapping[str, Job]:
+    """Return the live jobs in the scope of a round."""
     return state.jobs.live if request.jobs is None else request.jobs
 
 
 def due_jobs(state: FleetState, request: RoundRequest, planned: PlacementRound) -> dict[str, Job]:
-    """Return the queued jobs that may be placed now, and end those that never can be."""
+    """Return the queued jobs that can be placed now, and plan to end those that can never run."""
     queued = [
         (job_id, job)
-        for job_id, job in wanted_jobs(state, request).items()
+        for job_id, job in jobs_in_scope(state, request).items()
         if job.status is JobStatus.QUEUED
         and (request.pools is None or job.spec.pool in request.pools)
     ]
@@ -95,14 +94,14 @@
     now_ms = max(state.now_ms, request.now_ms)
     shapes = pool_shapes(state, {job.spec.pool for _, job in queued})
     due: dict[str, Job] = {}
-    never: list[str] = []
+    unplaceable: list[str] = []
     for job_id, job in queued:
         if job.not_before_ms > now_ms:
-            planned.wait("retry_not_due")
-        elif why_never(state, shapes, job_id, job):
-            never.append(job_id)
+            planned.count_waiting("retry_not_due")
+        elif permanent_obstacle(state, shapes, job_id, job):
+            unplaceable.append(job_id)
         else:
             due[job_id] = job
-    if never:
-        planned.records.append(JobUnplaceable(jobs=tuple(sorted(never)[:MAX_BATCH])))
+    if unplaceable:
+        planned.records.append(JobUnplaceable(jobs=tuple(sorted(unplaceable)[:MAX_BATCH])))
     return due
--- a/heatherkeel/jobs/reducer.py
+++ b/heatherkeel/jobs/reducer.py
@@ -1,4 +1,4 @@
-"""Decides what owners ask for: submissions, cancellations, and what to do with the unknown."""
+"""Decides records by job owners (submit, cancel, resolve) and ends jobs that can never run."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 from . import checks, placing, tasks, usage  # noqa: F401
 from .const import MAX_REMEMBERED_JOBS, MAX_REMEMBERED_PER_TEAM
-from .feasibility import pool_shapes, why_never
+from .feasibility import permanent_obstacle, pool_shapes
 from .models import Job, JobChanged, JobStatus, job_team
 from .records import JobCancel, JobResolve, JobSubmit, JobUnplaceable, Resolution
-from .reservations import abandon, quota_of
+from .reservations import abandon_task, quota_of
 from .transitions import (
     accepted,
-    finish,
-    forget_old,
+    finish_job,
     not_found,
+    remove_expired,
     requeue,
     spec_digest,
-    stale,
+    stale_version,
     stop_task,
     wrong_state,
 )
@@ -30,16 +30,16 @@
 
 @handles("jobs.submit", JobSubmit)
 def submit_job(state: FleetState, meta: RecordMeta, body: JobSubmit) -> Result[Accepted, Rejected]:
-    """Take in a job, or find the one that the same owner submitted before."""
-    forget_old(state, meta.now_ms)
+    """Accept a new job, or answer a resubmission with the existing one."""
+    remove_expired(state, meta.now_ms)
     if job_team(body.job) != body.team:
         return Err(Rejected(reason=RejectReason.NOT_OWNER, detail=body.job))
-    known = _find_same(state, body)
-    if known is not None:
-        return known
-    refusal = _check_new(state, meta, body)
-    if refusal is not None:
-        return Err(refusal)
+    existing = _find_existing(state, body)
+    if existing is not None:
+        return existing
+    rejection = _check_new(state, meta, body)
+    if rejection is not None:
+        return Err(rejection)
     state.jobs.live[body.job] = Job(
         spec=body.spec,
         submitted_ms=meta.now_ms,
@@ -52,11 +52,11 @@
     return Ok(accepted(1, changed))
 
 
-def _find_same(state: FleetState, body: JobSubmit) -> Result[Accepted, Rejected] | None:
-    """Answer a resubmission with the job that is there.
+def _find_existing(state: FleetState, body: JobSubmit) -> Result[Accepted, Rejected] | None:
+    """Return the outcome for a job id that already exists, or None for a new one.
 
-    The answer to a submission can be lost, and the owner submits again, perhaps much later. A
-    second job would bill a retailer twice.
+    An owner that didn't receive the answer submits again, possibly much later; the job must not
+    run a second time.
     """
     live = state.jobs.live.get(body.job)
     if live is not None and live.spec == body.spec:
@@ -89,7 +89,7 @@
 
 @handles("jobs.cancel", JobCancel)
 def cancel_jobs(state: FleetState, meta: RecordMeta, body: JobCancel) -> Result[Accepted, Rejected]:
-    """End queued jobs at once; ask the platform to stop the others."""
+    """Cancel queued jobs at once; ask the platform to stop the tasks of the others."""
     foreign = next((job_id for job_id in body.jobs if job_team(job_id) != body.team), None)
     if foreign is not None:
         return Err(Rejected(reason=RejectReason.NOT_OWNER, detail=foreign))
@@ -102,13 +102,13 @@
 
 
 def _cancel(state: FleetState, meta: RecordMeta, job_id: str, job: Job) -> Effect:
-    """Cancel one job.
+    """Cancel a queued job, or request the stop of its task.
 
-    A job with a task is cancelled only when the platform has said how the task ended: told
-    earlier, its owner could submit it anew while the first run goes on.
+    A job with a task is reported as cancelled only after its task has ended. Otherwise its owner
+    could submit it again while the first run continues.
     """
     if job.status is JobStatus.QUEUED:
-        return finish(state, job_id, job, meta, JobStatus.CANCELLED, "cancelled while queued")
+        return finish_job(state, job_id, job, meta, JobStatus.CANCELLED, "cancelled while queued")
     job.cancelling = True
     job.version += 1
     job.changed_ms = meta.now_ms
@@ -119,21 +119,21 @@
 def resolve_job(
     state: FleetState, meta: RecordMeta, body: JobResolve
 ) -> Result[Accepted, Rejected]:
-    """Do with an unknown job what its owner decided."""
+    """Run an unknown job again, or let it fail, as its owner decided."""
     if job_team(body.job) != body.team:
         return Err(Rejected(reason=RejectReason.NOT_OWNER, detail=body.job))
     job = state.jobs.live.get(body.job)
     if job is None:
         return Err(not_found(body.job))
     if job.version != body.expected_version:
-        return Err(stale(body.job, job))
+        return Err(stale_version(body.job, job))
     if job.status is not JobStatus.UNKNOWN:
         return Err(wrong_state(body.job, job))
     stop = stop_task(body.job, job)
-    abandon(state, body.job, job)
+    abandon_task(state, body.job, job)
     if body.resolution is Resolution.GIVE_UP:
         reason = "given up by its owner while unknown"
-        changed = finish(state, body.job, job, meta, JobStatus.FAILED, reason)
+        changed = finish_job(state, body.job, job, meta, JobStatus.FAILED, reason)
         return Ok(accepted(job.version, changed, stop))
     job.runs_allowed += 1
     job.cancelling = False
@@ -146,7 +146,7 @@
 def end_unplaceable(
     state: FleetState, meta: RecordMeta, body: JobUnplaceable
 ) -> Result[Accepted, Rejected]:
-    """End those of the named jobs that can never run as things stand at this offset."""
+    """End the listed jobs that can never run in the state at this offset."""
     queued = {
         job_id: job
         for job_id in body.jobs
@@ -155,9 +155,9 @@
     shapes = pool_shapes(state, {job.spec.pool for job in queued.values()})
     effects: list[Effect] = []
     for job_id, job in queued.items():
-        reason = why_never(state, shapes, job_id, job)
+        reason = permanent_obstacle(state, shapes, job_id, job)
         if reason:
-            effects.append(finish(state, job_id, job, meta, JobStatus.FAILED, reason))
+            effects.append(finish_job(state, job_id, job, meta, JobStatus.FAILED, reason))
     if not effects:
         return Err(Rejected(reason=RejectReason.CONFLICT, detail="all of them may still run"))
     return Ok(accepted(0, *effects))
--- a/heatherkeel/jobs/transitions.py
+++ b/heatherkeel/jobs/transitions.py
@@ -1,4 +1,4 @@
-"""Moves of a job from one status to another, shared by all handlers of job records."""
+"""Status transitions of jobs, shared by the handlers of job records."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from heatherkeel.core.state import FleetState
 
 from .const import (
-    FINISHED_MEMORY_MS,
-    FORGET_INTERVAL_MS,
+    CLEANUP_INTERVAL_MS,
+    FINISHED_RETENTION_MS,
     MAX_START_FAILURES,
     RETRY_BASE_MS,
     RETRY_MAX_MS,
@@ -25,43 +25,43 @@
     JobStatus,
     StopTask,
     job_team,
-    task_of,
+    latest_task_id,
 )
-from .reservations import drop_orphan, give_back
+from .reservations import release, release_orphan
 
 _ENCODER = msgspec.json.Encoder(order="sorted")
 
 
 def spec_digest(spec: JobSpec) -> str:
-    """Return a short digest by which a resubmission is told from another job of the same id."""
+    """Return a digest that distinguishes a resubmission from another job with the same id."""
     return hashlib.blake2b(_ENCODER.encode(spec), digest_size=8).hexdigest()
 
 
 def not_found(job_id: str) -> Rejected:
-    """Refuse a record about a job that isn't known, or not any more."""
+    """Return the rejection of a record about a job that isn't live."""
     return Rejected(reason=RejectReason.NOT_FOUND, detail=job_id)
 
 
 def wrong_state(job_id: str, job: Job) -> Rejected:
-    """Refuse a record that doesn't apply to the status that the job is in."""
+    """Return the rejection of a record that doesn't apply to the job's status."""
     detail = f"{job_id} is {job.status} at attempt {job.attempt}"
     return Rejected(reason=RejectReason.WRONG_STATE, detail=detail, version=job.version)
 
 
-def stale(job_id: str, job: Job) -> Rejected:
-    """Refuse a decision whose author had not seen the newest version of the job."""
+def stale_version(job_id: str, job: Job) -> Rejected:
+    """Return the rejection of a record that is based on an outdated version of the job."""
     return Rejected(reason=RejectReason.STALE_VERSION, detail=job_id, version=job.version)
 
 
 def may_run_again(job: Job) -> bool:
-    """Say whether a further attempt can't double what must run at most once."""
+    """Return whether another attempt is allowed; jobs that aren't idempotent have limited runs."""
     return job.spec.idempotent or bool(job.checkpoint) or job.runs < job.runs_allowed
 
 
-def move(
+def set_status(
     job_id: str, job: Job, meta: RecordMeta, status: JobStatus, reason: str = ""
 ) -> JobChanged:
-    """Set a status that isn't final, and tell of it."""
+    """Set the status of a job and return the effect that reports it."""
     job.status = status
     job.reason = reason
     job.version += 1
@@ -71,7 +71,7 @@
     )
 
 
-def finish(
+def finish_job(
     state: FleetState,
     job_id: str,
     job: Job,
@@ -79,9 +79,9 @@
     status: JobStatus,
     reason: str = "",
 ) -> JobChanged:
-    """End a job for good, and keep what a later question or resubmission needs."""
-    give_back(state, job_id, job)
-    changed = move(job_id, job, meta, status, reason)
+    """Finish a job and keep a summary of it for queries and resubmissions."""
+    release(state, job_id, job)
+    changed = set_status(job_id, job, meta, status, reason)
     del state.jobs.live[job_id]
     state.jobs.finished[job_id] = FinishedJob(
         spec_digest=spec_digest(job.spec),
@@ -97,86 +97,86 @@
 def requeue(
     state: FleetState, job_id: str, job: Job, meta: RecordMeta, *, wait_ms: int, reason: str
 ) -> JobChanged:
-    """Queue a job again; the caller has released or abandoned what its attempt held."""
+    """Queue a job again; the caller has released or abandoned its reservation."""
     job.not_before_ms = meta.now_ms + wait_ms
     job.instance = ""
-    return move(job_id, job, meta, JobStatus.QUEUED, reason)
+    return set_status(job_id, job, meta, JobStatus.QUEUED, reason)
 
 
-def after_failure(
+def retry_after_failure(
     state: FleetState, job_id: str, job: Job, meta: RecordMeta, reason: str
 ) -> JobChanged:
-    """Queue a job again after an attempt that ran or may have run, or end it at its limit."""
+    """Retry a job after an attempt that ran or may have run, unless its limit is reached."""
     job.failures += 1
     if job.cancelling:
-        return finish(state, job_id, job, meta, JobStatus.CANCELLED, reason)
+        return finish_job(state, job_id, job, meta, JobStatus.CANCELLED, reason)
     if job.failures >= job.spec.max_attempts:
-        words = f"attempt {job.failures} of {job.spec.max_attempts}: {reason}"
-        return finish(state, job_id, job, meta, JobStatus.FAILED, words)
+        full_reason = f"attempt {job.failures} of {job.spec.max_attempts}: {reason}"
+        return finish_job(state, job_id, job, meta, JobStatus.FAILED, full_reason)
     return requeue(state, job_id, job, meta, wait_ms=backoff_ms(job.failures), reason=reason)
 
 
-def after_start_failure(
+def retry_after_start_failure(
     state: FleetState, job_id: str, job: Job, meta: RecordMeta, reason: str
 ) -> JobChanged:
-    """Queue a job again after an attempt that is known not to have run."""
+    """Retry a job after an attempt that is known not to have run, unless its limit is reached."""
     job.start_failures += 1
     if not job.resumed:
         job.runs -= 1
     if job.cancelling:
-        return finish(state, job_id, job, meta, JobStatus.CANCELLED, reason)
+        return finish_job(state, job_id, job, meta, JobStatus.CANCELLED, reason)
     if job.start_failures >= MAX_START_FAILURES:
-        words = f"not started in {job.start_failures} tries: {reason}"
-        return finish(state, job_id, job, meta, JobStatus.FAILED, words)
+        full_reason = f"not started in {job.start_failures} tries: {reason}"
+        return finish_job(state, job_id, job, meta, JobStatus.FAILED, full_reason)
     wait_ms = backoff_ms(job.start_failures)
     return requeue(state, job_id, job, meta, wait_ms=wait_ms, reason=reason)
 
 
 def backoff_ms(failures: int) -> int:
-    """Return the wait before the next try in log milliseconds; it doubles up to a limit."""
+    """Return the delay before the next attempt in log milliseconds (exponential backoff)."""
     doublings = min(failures - 1, 20)
     return min(RETRY_BASE_MS << doublings, RETRY_MAX_MS)
 
 
 def stop_task(job_id: str, job: Job) -> StopTask:
-    """Return the effect that stops the newest attempt of a job."""
-    return StopTask(task=task_of(job_id, job), job=job_id, instance=job.instance)
+    """Return the effect that stops the latest attempt of a job."""
+    return StopTask(task=latest_task_id(job_id, job), job=job_id, instance=job.instance)
 
 
 def checkpoint_task(job_id: str, job: Job) -> CheckpointTask:
-    """Return the effect that checkpoints the newest attempt of a job and stops it there."""
-    return CheckpointTask(task=task_of(job_id, job), job=job_id, instance=job.instance)
+    """Return the effect that checkpoints and stops the latest attempt of a job."""
+    return CheckpointTask(task=latest_task_id(job_id, job), job=job_id, instance=job.instance)
 
 
 def accepted(version: int, *effects: Effect) -> Accepted:
-    """Take a record, with the effects that follow from it."""
+    """Return the acceptance of a record with its effects."""
     return Accepted(version=version, effects=effects)
 
 
-def forget_old(state: FleetState, now_ms: int) -> None:
-    """Forget finished jobs after their time, and what stands about workers that are gone.
+def remove_expired(state: FleetState, now_ms: int) -> None:
+    """Remove expired finished jobs and holds, and entries of workers that no longer exist.
 
-    It follows from log time alone, so it may run ahead of a record that is then refused.
+    This depends on log time only, so it may precede a record that is then refused.
     """
     jobs = state.jobs
-    if now_ms - jobs.forgot_ms < FORGET_INTERVAL_MS:
+    if now_ms - jobs.forgot_ms < CLEANUP_INTERVAL_MS:
         return
     jobs.forgot_ms = now_ms
-    for job_id in [key for key, job in jobs.finished.items() if _is_old(job, now_ms)]:
-        _forget_job(state, job_id)
+    for job_id in [key for key, job in jobs.finished.items() if _is_expired(job, now_ms)]:
+        _remove_finished_job(state, job_id)
     jobs.holds = {key: hold for key, hold in jobs.holds.items() if hold.until_ms > now_ms}
     present = state.pools.instances
     jobs.workers = {key: record for key, record in jobs.workers.items() if key in present}
     gone = [task for task, orphan in jobs.orphans.items() if orphan.instance not in present]
     for task in gone:
-        drop_orphan(state, task)
+        release_orphan(state, task)
 
 
-def _is_old(job: FinishedJob, now_ms: int) -> bool:
-    return job.ended_ms + FINISHED_MEMORY_MS <= now_ms
+def _is_expired(job: FinishedJob, now_ms: int) -> bool:
+    return job.ended_ms + FINISHED_RETENTION_MS <= now_ms
 
 
-def _forget_job(state: FleetState, job_id: str) -> None:
+def _remove_finished_job(state: FleetState, job_id: str) -> None:
     del state.jobs.finished[job_id]
     state.jobs.forgotten += 1
     team = job_team(job_id)
--- a/heatherkeel/jobs/usage.py
+++ b/heatherkeel/jobs/usage.py
@@ -1,4 +1,4 @@
-"""Takes in the platform's usage reports, which lag behind the tasks."""
+"""Decides usage reports of the platform, which lag behind the tasks."""
 
 from __future__ import annotations
 
@@ -9,37 +9,40 @@
 from heatherkeel.core.registry import handles
 from heatherkeel.core.state import FleetState
 
-from .models import HOLDING, Job, ThrottleTask, task_job, task_of
+from .models import ACTIVE_STATUSES, Job, ThrottleTask, job_id_of_task, latest_task_id
 from .records import UsageReport, UsageSample
-from .reservations import capacity_of, note_usage
+from .reservations import capacity_of, record_usage
 
 
 @handles("jobs.usage", UsageReport)
-def report_usage(
+def apply_usage_report(
     state: FleetState, meta: RecordMeta, body: UsageReport
 ) -> Result[Accepted, Rejected]:
-    """Keep the peaks of the attempts that are still the newest; pass over the others."""
+    """Record the peak usage of current attempts; samples of older attempts are ignored."""
     effects: list[Effect] = []
-    taken = 0
+    applied = 0
     for sample in body.samples:
-        job_id = task_job(sample.task)
+        job_id = job_id_of_task(sample.task)
         job = state.jobs.live.get(job_id)
-        # A report that lags can be of an attempt that is over. Booked on the newer one, it would
-        # fill a worker that the old attempt never ran on.
-        if job is None or job.status not in HOLDING or task_of(job_id, job) != sample.task:
+        # A delayed sample of an earlier attempt must not count against the current worker.
+        if (
+            job is None
+            or job.status not in ACTIVE_STATUSES
+            or latest_task_id(job_id, job) != sample.task
+        ):
             continue
-        taken += 1
-        note_usage(
+        applied += 1
+        record_usage(
             state, job, memory_mib=sample.peak_memory_mib, cpu_millicores=sample.cpu_millicores
         )
         effects += _throttle(state, sample, job)
-    if taken == 0:
+    if applied == 0:
         return Err(Rejected(reason=RejectReason.NOT_FOUND, detail="no attempt that still runs"))
     return Ok(Accepted(effects=tuple(effects)))
 
 
 def _throttle(state: FleetState, sample: UsageSample, job: Job) -> list[Effect]:
-    """Hold a batch task to its reservation where it takes processors that others hold."""
+    """Throttle a batch task to its reservation if it uses CPU that is reserved for others."""
     instance = state.pools.instances.get(job.instance)
     if instance is None or job.reserved is None or job.spec.service_class is not ServiceClass.BATCH:
         return []
@@ -49,7 +52,7 @@
         return []
     throttle = ThrottleTask(
         task=sample.task,
-        job=task_job(sample.task),
+        job=job_id_of_task(sample.task),
         instance=job.instance,
         cpu_millicores=job.reserved.cpu_millicores,
     )
