--- a/heatherkeel/requests/models.py
+++ b/heatherkeel/requests/models.py
@@ -1,4 +1,4 @@
-"""Records of claims, which let a key run at most once, and the subject's folded state."""
+"""Claim records of idempotency keys, and the folded state of this subject."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 class ClaimStatus(StrEnum):
-    """What the log knows of a claimed request."""
+    """Status of a claimed request according to the log."""
 
     CLAIMED = "claimed"
     """No outcome yet: in progress while the claimant holds its lease, unknown after that."""
     RAN = "ran"
     NOT_RUN = "not_run"
-    """The claimant says that it ran nowhere; the key may be claimed again."""
+    """The claimant reported that it ran on no target; the key may be claimed again."""
     UNKNOWN = "unknown"
 
 
 class RecordedAnswer(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A target's answer as far as it is kept; `body` is base64, empty if only the digest is."""
+    """A target's recorded answer; `body` is base64, or empty if only the digest is kept."""
 
     http_status: Annotated[int, Meta(ge=100, le=599)]
     content_type: Annotated[str, Meta(max_length=128)] = ""
@@ -42,9 +42,9 @@
 
 
 class KeyClaim(RecordBody, frozen=True, kw_only=True):
-    """An entry instance asks to be the one that sends the request with this key.
+    """An entry instance requests the exclusive right to send the request with this key.
 
-    `fingerprint` is a digest of method, path and body: a key names one request only.
+    `fingerprint` is a digest of method, path and body; a key identifies exactly one request.
     """
 
     service: Name
@@ -55,7 +55,7 @@
 
 
 class ClaimOutcome(RecordBody, frozen=True, kw_only=True):
-    """The claimant says how the request ended; `claim` is the id of its claim record."""
+    """The claimant reports how the request ended; `claim` is the id of its claim record."""
 
     service: Name
     key: CallerKey
@@ -66,9 +66,9 @@
 
 @dataclass(kw_only=True)
 class Claim:
-    """One key as claimed last; `attempt` counts its claims, all but the last ended *not run*.
+    """The latest claim of one key; times are in log milliseconds.
 
-    Times in log milliseconds.
+    `attempt` counts the claims of the key; all but the last one ended *not run*.
     """
 
     claim: str
@@ -85,33 +85,33 @@
 
 @dataclass(kw_only=True)
 class ClaimsState:
-    """Claims by service and caller's key, joined by a slash."""
+    """Claims, keyed by service name and the caller's key, joined by a slash."""
 
     claims: dict[str, Claim] = field(default_factory=dict)
     purged_ms: int = 0
     kept_chars: int = 0
-    """Characters of answer bodies that are kept."""
+    """Total characters of the kept answer bodies."""
 
 
 def claim_name(service: str, key: str) -> str:
-    """Return the name of a claim; service names hold no slash."""
+    """Return the name of a claim; service names contain no slash."""
     return f"{service}/{key}"
 
 
 def claim_id(incarnation: str, request_id: str) -> str:
-    """Return the id of the claim record of a request at one incarnation of an entry instance."""
+    """Return the id of the claim record for a request to one incarnation of an entry instance."""
     return f"{incarnation}-{request_id}"
 
 
 def claimed_request(incarnation: str, claim: str) -> str | None:
-    """Return the request that an incarnation's own claim is for, or none if it isn't its own."""
+    """Return the request id of a claim made by this incarnation, or `None` for other claims."""
     prefix = claim_id(incarnation, "")
     return claim.removeprefix(prefix) if claim.startswith(prefix) else None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClaimChanged(Effect):
-    """A key was claimed, or got its outcome."""
+    """A key was claimed, or its outcome was recorded."""
 
     service: str
     key: str
