--- a/heatherkeel/requests/local.py
+++ b/heatherkeel/requests/local.py
@@ -1,4 +1,4 @@
-"""What one entry instance knows of targets and of its own requests; never shared or kept."""
+"""Local state of one entry instance for targets and requests; not shared or persisted."""
 
 from __future__ import annotations
 
@@ -13,48 +13,48 @@
 
 @dataclass(kw_only=True)
 class TargetView:
-    """One target as this entry instance sees it; times in monotonic milliseconds.
+    """State of one target at this entry instance; times are in monotonic milliseconds.
 
-    `in_progress` counts this entry instance's own requests. `cap` is its share of the target's
-    slots, and holds for the share views numbered `cap_generation`.
+    `in_progress` counts only the requests of this entry instance. `cap` is its share of the
+    target's slots, computed for the share views of `cap_generation`.
     """
 
     address: str
     zone: str
     pool: str
     serving: bool = True
-    """The fold says that it serves."""
+    """Whether the target is serving according to the fold."""
     leaving: bool = False
     leaving_heard_ms: int = 0
-    """When the target itself last said that it leaves; 0 if it never did."""
+    """When the target itself last reported that it is leaving; 0 if it never did."""
     gone: bool = False
     in_progress: int = 0
     latency_ms: float = INITIAL_LATENCY_MS
     failures: int = 0
-    """Failures since the last success."""
+    """Number of failures since the last success."""
     ejections: int = 0
-    """Ejections since the last success."""
+    """Number of ejections since the last success."""
     ejected_until_ms: int = 0
     probing: bool = False
-    """Back from an ejection, with no success yet."""
+    """Whether it returned from an ejection without a success since."""
     ramp_from_ms: int = -1
-    """Start of the slow start; -1 outside of one."""
+    """Beginning of the slow start; -1 if none is in progress."""
     cap: int = 0
     cap_generation: int = -1
 
 
 class RequestPhase(StrEnum):
-    """Where a request stands."""
+    """Phase of a request before its final answer."""
 
     QUEUED = "queued"
     CLAIMING = "claiming"
-    """It holds a slot and waits for its claim to be read back."""
+    """The request holds a slot and waits for its claim to be read back."""
     SENT = "sent"
 
 
 @dataclass(kw_only=True)
 class ActiveRequest:
-    """A request that has no final answer yet; times in monotonic milliseconds."""
+    """A request without a final answer; times are in monotonic milliseconds."""
 
     service: str
     pool: str
@@ -68,16 +68,16 @@
     target: str = ""
     tried: tuple[str, ...] = ()
     may_have_run: bool = False
-    """An attempt ended after something was sent, so *not run* can't be said any more."""
+    """An earlier attempt may have run, so the outcome can no longer be *not run*."""
     claim: str = ""
-    """Id of its claim record; empty if it needs none or has none yet."""
+    """Id of the claim record; empty if none is needed or written yet."""
     abandoned: bool = False
-    """Its caller hung up while its claim was on the way."""
+    """Whether the caller disconnected while the claim was being written."""
 
 
 @dataclass(kw_only=True)
 class ClassQueue:
-    """Waiting requests of one class by owner; owners take turns in the order of `turns`."""
+    """Waiting requests of one class by owner; owners are served in the order of `turns`."""
 
     owners: dict[str, deque[str]] = field(default_factory=dict)
     turns: deque[str] = field(default_factory=deque)
@@ -87,35 +87,38 @@
 
 @dataclass(kw_only=True)
 class FullZone:
-    """No target of a pool in one zone had room; holds for these shares, and for a moment only."""
+    """Marks that no target of a pool in one zone has capacity, for a short time.
+
+    It only applies to the shares of `generation`.
+    """
 
     generation: int
     until_ms: int
     freed: dict[str, None] = field(default_factory=dict)
-    """Targets on which a slot was freed since, each once."""
+    """Targets on which a slot was freed since then; used as an ordered set."""
 
 
 @dataclass(kw_only=True)
 class PoolView:
-    """One pool as this entry instance sees it: who may be picked, and who waits."""
+    """State of one pool at this entry instance: candidate targets and queued requests."""
 
     candidates: dict[str, list[str]] = field(default_factory=dict)
-    """Targets that may get new work, by availability zone, in order of name."""
+    """Targets that may receive new requests, by availability zone, sorted by name."""
     full: dict[str, FullZone] = field(default_factory=dict)
-    """Availability zones in which the last look found no room."""
+    """Availability zones in which the last search found no capacity."""
     queues: dict[ServiceClass, ClassQueue] = field(default_factory=dict)
     waiting: int = 0
     in_progress: int = 0
     last_end_ms: int = -1
-    """When a slot was last freed while requests waited; -1 if none waited then."""
+    """When a slot was last freed while requests were waiting; -1 if none were."""
     drain_interval_ms: float = 0.0
-    """Moving average of the time between two freed slots while requests wait; 0 if unknown."""
+    """Moving average of the time between freed slots while requests wait; 0 if unknown."""
     latency_ms: float = INITIAL_LATENCY_MS
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShareMember:
-    """An entry instance that holds shares, as of one share view."""
+    """An entry instance that holds shares in a share view."""
 
     instance: str
     incarnation: str
@@ -125,7 +128,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShareView:
-    """What shares are worked out from, as of one offset; `slots` by pool."""
+    """Input for computing the shares at one offset; `slots` is keyed by pool."""
 
     offset: int
     members: tuple[ShareMember, ...]
@@ -134,30 +137,30 @@
 
 @dataclass(kw_only=True)
 class SharesState:
-    """Share views that another entry instance may still hold, oldest first."""
+    """Share views that another entry instance may still use, oldest first."""
 
     views: list[ShareView] = field(default_factory=list)
     generation: int = 0
-    """Rises whenever a cap may have changed."""
+    """Incremented whenever a cap may have changed."""
     next_change_ms: int = 0
-    """Log time at which the next lease lapses, so that most records need no look; 0 for never."""
+    """Log time at which the next lease expires; 0 for never."""
     live_views: int = 0
-    """How many of the views all but the lapsed have acknowledged."""
+    """Number of views that every entry instance without an expired lease acknowledged."""
 
 
 @dataclass(kw_only=True)
 class RetryBudget:
-    """Retries that one service may still send, in hundredths."""
+    """Remaining retry budget of one service, in hundredths of a retry."""
 
     left: int = RETRY_BUDGET_MAX
 
 
 @dataclass(kw_only=True)
 class RoutingState:
-    """Targets, pools and requests of this entry instance."""
+    """Targets, pools and requests at this entry instance."""
 
     seed: int = 1
-    """State of the generator that breaks ties."""
+    """State of the pseudorandom generator that selects targets and zones."""
     targets: dict[str, TargetView] = field(default_factory=dict)
     pools: dict[str, PoolView] = field(default_factory=dict)
     services: dict[str, ServiceEntry] = field(default_factory=dict)
@@ -165,14 +168,14 @@
     """Service names by path prefix."""
     requests: dict[str, ActiveRequest] = field(default_factory=dict)
     claims: dict[str, str] = field(default_factory=dict)
-    """Requests that wait for their claim, by the id of the claim record."""
+    """Requests that wait for their claim, by claim record id."""
     waiting: dict[str, int] = field(default_factory=dict)
-    """Queued requests by service."""
+    """Number of queued requests by service."""
     deadlines: list[tuple[int, str]] = field(default_factory=list)
-    """Heap of deadlines of queued requests; entries of requests that moved on are stale."""
+    """Heap of the deadlines of queued requests; may contain entries of dequeued requests."""
     ejected: dict[str, int] = field(default_factory=dict)
-    """Ejected targets, with the end of their ejection."""
+    """Ejected targets and the end time of each ejection."""
     budgets: dict[str, RetryBudget] = field(default_factory=dict)
     shares: SharesState = field(default_factory=SharesState)
     leaving: set[str] = field(default_factory=set)
-    """Targets that the platform's list shows as leaving."""
+    """Targets that are marked as leaving in the platform's list."""
