--- a/heatherkeel/requests/reducer.py
+++ b/heatherkeel/requests/reducer.py
@@ -1,4 +1,4 @@
-"""Decides who may run the request of a key, and what became of it."""
+"""Reducers that decide which entry instance may run a keyed request, and its outcome."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @handles("requests.claim", KeyClaim)
 def claim(state: FleetState, meta: RecordMeta, body: KeyClaim) -> Result[Accepted, Rejected]:
-    """Give a key to the first claimant that may route; a key that did not run is free again."""
+    """Grant a key to the first claimant with a routing lease; after *not run* it is free again."""
     _purge(state.claims, meta.now_ms)
     name = claim_name(body.service, body.key)
     held = find_claim(state, body.service, body.key)
@@ -52,11 +52,11 @@
 def _check_claim(
     state: FleetState, meta: RecordMeta, body: KeyClaim, held: Claim | None
 ) -> Rejected | None:
-    """Refuse a claim on a key that may already have run, or by somebody who may not route.
+    """Reject a claim on a key that may already have run, or by a claimant that can't route.
 
-    Failure: the caller repeats through another entry instance, or a paused one wakes with an old
-    claim. Symptom: a certificate is issued twice. Enough because all claims of a key pass here
-    in one order, and only the one taken here is ever sent.
+    Prevents a second run when the caller repeats a request through another entry instance, or
+    when a paused process resumes with an old claim: all claims of a key are decided here in log
+    order, and only the accepted one is sent.
     """
     if held is not None and held.fingerprint != body.fingerprint:
         return Rejected(reason=RejectReason.CONFLICT, detail="key used for another request")
@@ -76,7 +76,7 @@
 def settle_claim(
     state: FleetState, meta: RecordMeta, body: ClaimOutcome
 ) -> Result[Accepted, Rejected]:
-    """Record how a claimed request ended; the first outcome of a claim stands."""
+    """Record how a claimed request ended; only the first outcome of a claim is accepted."""
     held = find_claim(state, body.service, body.key)
     if held is None or held.claim != body.claim:
         return Err(Rejected(reason=RejectReason.NOT_FOUND, detail=body.claim))
@@ -92,7 +92,7 @@
 
 
 def _keep(claims: ClaimsState, answer: RecordedAnswer | None) -> RecordedAnswer | None:
-    """Keep an answer's body while there is room, its digest always."""
+    """Keep an answer's body while the total allows it, and its digest always."""
     if answer is None:
         return None
     if claims.kept_chars + len(answer.body) > MAX_KEPT_TOTAL_CHARS:
@@ -102,7 +102,7 @@
 
 
 def find_claim(state: FleetState, service: str, key: str) -> Claim | None:
-    """Return the claim of a key that is still remembered."""
+    """Return the claim of a key, unless it is past its retention time."""
     held = state.claims.claims.get(claim_name(service, key))
     if held is None or _is_forgotten(held, state.now_ms):
         return None
@@ -110,7 +110,7 @@
 
 
 def claimant_may_answer(state: FleetState, held: Claim) -> bool:
-    """Tell whether the claimant may still be at it: it is the same process, with its lease."""
+    """Return whether the claimant may still answer: same incarnation, with a valid lease."""
     entry = state.membership.entries.get(held.instance)
     if entry is None or entry.incarnation != held.incarnation:
         return False
@@ -122,9 +122,9 @@
 
 
 def _purge(claims: ClaimsState, now_ms: int) -> None:
-    """Take out keys that are no longer remembered; the interval keeps the cost per record small.
+    """Remove keys past their retention time; the interval limits the cost per record.
 
-    This is due by log time alone, so it also happens by a claim that is refused.
+    It depends on log time only, so a rejected claim also triggers it.
     """
     if now_ms - claims.purged_ms < CLAIM_PURGE_INTERVAL_MS:
         return
