--- a/heatherkeel/requests/limits.py
+++ b/heatherkeel/requests/limits.py
@@ -1,10 +1,7 @@
-"""Shares of a target's slots, so that the limit holds over all entry instances together.
+"""Shares of a target's slots, which enforce its limit across all entry instances.
 
-Every entry instance works out the same shares from the fold's membership, but not at the same
-moment. So each uses the smallest of its shares in every view that another one may still hold: a
-share shrinks at once, and grows only when all others have acknowledged the newer view in their
-lease renewals. `docs/design/requests.md` has the proof that the shares in use never exceed the
-slots.
+A share shrinks at once, and grows only after all others have acknowledged the newer view.
+`docs/design/requests.md` proves that the shares in use never exceed the slots.
 """
 
 from __future__ import annotations
@@ -26,15 +23,15 @@
 from .local import ShareMember, ShareView, TargetView
 
 MEMBERSHIP_CHANGES: Final = frozenset({"membership.join", "membership.leave", "membership.gone"})
-"""Kinds of records after which the entry instances that share a target may be others."""
+"""Record kinds that may change which entry instances share a target."""
 
 
 def allotted(view: ShareView, incarnation: str, zone: str, name: str, target: TargetView) -> int:
-    """Return the share of the slots of target `name` that an incarnation in `zone` has by a view.
+    """Return the number of slots of target `name` that a view assigns to an incarnation in `zone`.
 
-    Most slots go to entry instances of the target's own availability zone, the rest to those of
-    the others. A lapsed one keeps its share in its own availability zone: it may be cut off from
-    the platform and still be serving there.
+    Most slots go to entry instances in the target's own availability zone, the rest to those in
+    other zones. An entry instance with an expired lease keeps its share in its own zone, since
+    it may still serve there while it can't reach the platform.
     """
     slots = view.slots.get(target.pool, 0)
     near = [member for member in view.members if member.zone == target.zone]
@@ -47,7 +44,7 @@
 
 
 def _part(members: Sequence[ShareMember], slots: int, incarnation: str, name: str) -> int:
-    """Divide slots evenly; who gets the odd ones differs from target to target."""
+    """Divide slots evenly; which members get the remainder depends on the target's name."""
     for rank, member in enumerate(members):
         if member.incarnation == incarnation:
             turned = (rank + zlib.crc32(name.encode())) % len(members)
@@ -58,10 +55,9 @@
 def share(node: NodeState, name: str, target: TargetView) -> int:
     """Return how many requests this entry instance may have in progress on a target.
 
-    Failure: an entry instance leaves or a new one joins, and two of them, at different offsets,
-    both count the same slot as theirs. Symptom: a target with more requests than slots. Enough
-    because each uses the smallest share over all views that anyone may still be at, and one of
-    those is the view of whoever is furthest behind; within one view the shares add up.
+    Prevents more requests than slots on a target when two entry instances are at different
+    offsets after a membership change. Each uses its smallest share over all views that may still
+    be in use; within one view the shares never exceed the slots.
     """
     shares = node.local.routing.shares
     if target.cap_generation != shares.generation:
@@ -77,10 +73,10 @@
 
 
 def _with_newcomers(node: NodeState, name: str, target: TargetView) -> int:
-    """Part a share of the own availability zone between a sponsor and its newcomers.
+    """Divide a share in the local availability zone between a sponsor and its joining instances.
 
-    A newcomer that started while the platform is down is in no view. Without a slot of its
-    sponsor's it could serve nobody until the platform is back.
+    An instance that started while the platform is down is in no view. Without a slot from its
+    sponsor it could not serve requests until the platform is available again.
     """
     local = node.local
     sponsorship = local.peers.sponsorship
@@ -95,10 +91,10 @@
 
 
 def acknowledged_offset(node: NodeState) -> int:
-    """Return the newest offset up to which this entry instance keeps to every share.
+    """Return the newest offset up to which this entry instance complies with all its shares.
 
-    It goes into the lease renewal. A share that shrank below what is in progress is not given up
-    before the surplus has ended.
+    It is sent with the lease renewal. A reduced share is acknowledged only after the excess
+    requests have ended.
     """
     views = node.local.routing.shares.views
     for view in views:
@@ -108,7 +104,7 @@
 
 
 def is_acknowledgement_due(node: NodeState) -> bool:
-    """Tell whether the log waits for this entry instance to acknowledge the newest view."""
+    """Return whether this entry instance can acknowledge the newest view and hasn't done so."""
     views = node.local.routing.shares.views
     entry = node.fleet.membership.entries.get(node.local.instance)
     if entry is None or entry.incarnation != node.local.incarnation or not views:
@@ -126,9 +122,9 @@
 
 
 def _held_views(node: NodeState, zone: str) -> list[ShareView]:
-    """Return the views of a zone's targets that some entry instance may still be at.
+    """Return the views of a zone's targets that some entry instance may still use.
 
-    None are returned if someone may be at a view from before this process knew any.
+    Empty if an entry instance may use a view older than those that this process knows.
     """
     views = node.local.routing.shares.views
     left_behind = _count_up_to(views, _acknowledged_by(node.fleet, waiting_for=zone))
@@ -140,11 +136,12 @@
 
 
 def _acknowledged_by(fleet: FleetState, *, waiting_for: str | None) -> int:
-    """Return the newest offset up to which all keep to their shares of a zone's targets.
+    """Return the newest offset up to which all entry instances comply with their shares.
 
-    A lapsed entry instance sends nothing across availability zones, but it may go on in its own:
-    there it is waited for until it is known to be gone. None waits for the lapsed of any zone.
-    An incarnation that was replaced may not know it, and is waited for until it lapses.
+    An entry instance with an expired lease sends nothing to other zones but may still serve its
+    own. `waiting_for` is the zone in which such instances must acknowledge until they are gone;
+    `None` includes all of them. A replaced incarnation may not know that it was replaced, and is
+    included until its lease expires.
     """
     membership = fleet.membership
     live = [entry for entry in all_incarnations(membership) if not _is_lapsed(fleet, entry)]
@@ -158,7 +155,7 @@
 
 
 def note_view(node: NodeState) -> None:
-    """Keep the view of the folded state if it differs from the last one."""
+    """Store a view of the folded state if it differs from the last one."""
     shares = node.local.routing.shares
     view = ShareView(
         offset=node.fleet.next_offset - 1,
@@ -174,7 +171,7 @@
 
 
 def _note_acknowledged(node: NodeState) -> None:
-    """Drop the views that all have left behind, and look again at shares that may grow."""
+    """Drop views that are no longer in use, and recompute shares that may grow."""
     shares = node.local.routing.shares
     if len(shares.views) == shares.live_views == 1:
         return
@@ -199,9 +196,9 @@
 
 
 def _slots_by_pool(fleet: FleetState) -> dict[str, int]:
-    """Return the slots of every instance of a pool: the least that one of its services asks for.
+    """Return the slots per instance of each pool: the lowest value among its services.
 
-    A request holds one connection, so a worker that takes fewer connections has fewer slots.
+    A request holds one connection, so the connection limit also limits the slots.
     """
     slots: dict[str, int] = {}
     for stored in fleet.catalogue.entries.values():
@@ -213,7 +210,7 @@
 
 
 def _next_change_ms(fleet: FleetState) -> int:
-    """Return the log time at which the next lease lapses, with its grace; 0 if none will."""
+    """Return the log time at which the next lease and its grace period end; 0 if none will."""
     ends = [entry.lease_until_ms for entry in all_incarnations(fleet.membership)]
     lapses = [end + SHARE_GRACE_MS + 1 for end in ends]
     return min((lapse for lapse in lapses if lapse > fleet.now_ms), default=0)
@@ -221,7 +218,7 @@
 
 @listens(Settled)
 def on_settled(node: NodeState, effect: Settled) -> list[Effect]:
-    """Follow the membership, and the time that every record carries."""
+    """Apply membership changes, and check for expired leases."""
     if effect.kind in MEMBERSHIP_CHANGES:
         note_view(node)
         return []
@@ -231,7 +228,7 @@
 
 
 def _on_renewal(node: NodeState) -> None:
-    """Let shares grow as others acknowledge; one that had lapsed counts everywhere again."""
+    """Grow shares after an acknowledgement; include an instance again that renewed its lease."""
     views = node.local.routing.shares.views
     if views and any(member.lapsed for member in views[-1].members):
         note_view(node)
@@ -241,18 +238,18 @@
 
 @listens(Skipped)
 def on_skipped(node: NodeState, effect: Skipped) -> list[Effect]:
-    """Follow the time that every record carries."""
+    """Check for expired leases."""
     return _on_time(node)
 
 
 @listens(Duplicate)
 def on_duplicate(node: NodeState, effect: Duplicate) -> list[Effect]:
-    """Follow the time that every record carries."""
+    """Check for expired leases."""
     return _on_time(node)
 
 
 def _on_time(node: NodeState) -> list[Effect]:
-    """Look at every record whether a lease has lapsed by it: all have to see it at one offset."""
+    """Check for expired leases at each record, so that all detect an expiry at the same offset."""
     if 0 < node.local.routing.shares.next_change_ms <= node.fleet.now_ms:
         note_view(node)
     return []
@@ -260,17 +257,16 @@
 
 @listens(CatalogueChanged)
 def on_catalogue_changed(node: NodeState, effect: CatalogueChanged) -> list[Effect]:
-    """Follow the slots per worker."""
+    """Apply changes to the slots per worker."""
     note_view(node)
     return []
 
 
 @listens(FleetRestored)
 def on_fleet_restored(node: NodeState, event: FleetRestored) -> list[Effect]:
-    """Start from the restored membership.
+    """Start again from the restored membership.
 
-    Views before it are unknown, and needn't be known: an entry instance that restores has no
-    share before its own join, which comes after.
+    Earlier views aren't needed: a restored entry instance has no share before its own join.
     """
     node.local.routing.shares.views.clear()
     note_view(node)
