--- a/heatherkeel/requests/claims.py
+++ b/heatherkeel/requests/claims.py
@@ -1,4 +1,4 @@
-"""Claims as one entry instance sees them: repeats of a key, and claims on their way."""
+"""Handles repeated keys and pending claims at one entry instance."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
     RejectReason.WRONG_STATE: RefusalReason.LEASE_LAPSED,
     RejectReason.QUOTA: RefusalReason.TOO_MANY_CLAIMS,
 }
-"""What a refused claim tells the caller, if the key is not held by another request."""
+"""Refusal reasons sent to the caller for rejected claims, except `ALREADY_EXISTS`."""
 
 
 def answer_repeat(node: NodeState, request_id: str, request: ActiveRequest) -> Effect | None:
-    """Return the answer to a request whose key the log knows already, or none if it may run."""
+    """Return the answer to a request whose key was claimed before, or `None` if it may run."""
     held = find_claim(node.fleet, request.service, request.key)
     if held is None:
         return None
@@ -56,7 +56,7 @@
 
 
 def _still_open(node: NodeState, request_id: str, held: Claim) -> Refuse:
-    """Say *in progress* while the claimant can still answer, and *unknown* for good after it."""
+    """Return *in progress* while the claimant can still answer, and *unknown* after that."""
     if held.status is ClaimStatus.CLAIMED and claimant_may_answer(node.fleet, held):
         return Refuse(
             request_id=request_id,
@@ -70,7 +70,7 @@
 
 @listens(Settled)
 def on_settled(node: NodeState, effect: Settled) -> list[Effect]:
-    """Hear how an own claim was decided."""
+    """Report how a claim of this entry instance was decided."""
     request_id = node.local.routing.claims.pop(effect.record_id, None)
     if request_id is None:
         return []
@@ -80,11 +80,10 @@
 
 @listens(ClaimChanged)
 def on_claim_changed(node: NodeState, effect: ClaimChanged) -> list[Effect]:
-    """Withdraw an own claim that nobody waits for any more.
+    """Withdraw a claim of this entry instance that no request waits for.
 
-    Failure: the platform was slow, the caller was told *not run*, and the claim comes into the
-    log after that. Symptom: the caller's repeat is told *in progress* for nothing, then *unknown*.
-    Enough because whoever finds its own claim won too late says that it did not run.
+    If a claim is accepted after its caller got *not run*, a repeated request would get *in
+    progress* and then *unknown*, although nothing runs. Recording *not run* frees the key.
     """
     request_id = claimed_request(node.local.incarnation, effect.claim)
     if request_id is None or effect.status is not ClaimStatus.CLAIMED:
@@ -96,7 +95,7 @@
 
 @listens(ClaimDecided)
 def on_claim_decided(node: NodeState, event: ClaimDecided) -> list[Effect]:
-    """Send a request that won its key, if it may still be sent; answer one that lost it."""
+    """Send a request whose claim was accepted, if still possible; answer one that was rejected."""
     request = node.local.routing.requests.get(event.request_id)
     if request is None or request.phase is not RequestPhase.CLAIMING:
         return []
@@ -122,7 +121,7 @@
 
 
 def _why_not_sent(node: NodeState, request: ActiveRequest, now_ms: int) -> RefusalReason | None:
-    """Return why a won claim is not followed by a send; time has passed since it was written."""
+    """Return why a claimed request can no longer be sent, or `None`; may change its target."""
     if request.abandoned:
         return RefusalReason.CALLER_GONE
     too_late = why_too_late(node, request, now_ms)
@@ -141,7 +140,7 @@
 
 @listens(ClaimWriteFailed)
 def on_claim_write_failed(node: NodeState, event: ClaimWriteFailed) -> list[Effect]:
-    """Refuse a request whose claim could not be written: nothing was sent, and nothing will be."""
+    """Refuse a request whose claim could not be written; it was not sent and will not be."""
     request = node.local.routing.requests.get(event.request_id)
     if request is None or request.phase is not RequestPhase.CLAIMING:
         return []
@@ -159,7 +158,7 @@
 def outcome_of(
     request: ActiveRequest, status: ClaimStatus, answer: RecordedAnswer | None = None
 ) -> list[Effect]:
-    """Return the record of how a claimed request ended; none for a request without a claim."""
+    """Return the record of how a claimed request ended; empty for a request without a claim."""
     if not request.claim:
         return []
     return [_outcome(request.service, request.key, request.claim, status, answer)]
