--- a/heatherkeel/requests/targets.py
+++ b/heatherkeel/requests/targets.py
@@ -1,4 +1,4 @@
-"""Keeps the targets of this entry instance in step with the fold and with what is heard of them."""
+"""Updates the local targets from the fold, the platform's list and the targets' own reports."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 @listens(InstanceChanged)
 def on_instance_changed(node: NodeState, effect: InstanceChanged) -> list[Effect]:
-    """Follow an instance's pool, address and status."""
+    """Apply an instance's pool, address and status."""
     return _take_instance(node, effect.instance)
 
 
 @listens(FleetRestored)
 def on_fleet_restored(node: NodeState, event: FleetRestored) -> list[Effect]:
-    """Follow every instance and service of a restored fold."""
+    """Apply all instances and services of a restored fold."""
     routing = node.local.routing
     known = set(node.fleet.pools.instances) | set(routing.targets)
     effects = [effect for name in sorted(known) for effect in _take_instance(node, name)]
@@ -33,14 +33,14 @@
 
 @listens(CatalogueChanged)
 def on_catalogue_changed(node: NodeState, effect: CatalogueChanged) -> list[Effect]:
-    """Follow the services of the catalogue."""
+    """Apply the services of the catalogue."""
     _take_services(node)
     return []
 
 
 @listens(TargetLeaving)
 def on_target_leaving(node: NodeState, event: TargetLeaving) -> list[Effect]:
-    """Stop new work to a target that leaves, whoever says so first."""
+    """Stop new requests to a target that is leaving, whichever source reports it first."""
     routing = node.local.routing
     target = routing.targets.get(event.target)
     if event.source is LeavingSource.PLATFORM_LIST:
@@ -56,10 +56,10 @@
 
 @listens(TargetLive)
 def on_target_live(node: NodeState, event: TargetLive) -> list[Effect]:
-    """Take a target back.
+    """Return a target to service.
 
-    The platform's list lags: it still shows as live a target that has just said that it leaves.
-    Believing it would send new work to a target that stops. The list may catch up first.
+    The platform's list may still show a target as live that has just reported that it is
+    leaving. The list is ignored for `LIST_LAG_MS`, so that a stopping target gets no requests.
     """
     routing = node.local.routing
     routing.leaving.discard(event.target)
@@ -77,7 +77,7 @@
 
 @listens(TargetGone)
 def on_target_gone(node: NodeState, event: TargetGone) -> list[Effect]:
-    """Stop new work to a target that the platform no longer lists."""
+    """Stop new requests to a target that the platform no longer lists."""
     routing = node.local.routing
     target = routing.targets.get(event.target)
     if target is None:
@@ -128,7 +128,7 @@
 
 
 def _index(routing: RoutingState, name: str, target: TargetView) -> None:
-    """List a target among the candidates of its pool, or take it off."""
+    """Add a target to the candidates of its pool, or remove it if it may get no requests."""
     _unindex(routing, name, target)
     pool = routing.pools.setdefault(target.pool, PoolView())
     pool.full.pop(target.zone, None)
@@ -156,7 +156,7 @@
 
 
 def find_service(routing: RoutingState, path: str) -> str | None:
-    """Return the service whose path prefix matches most whole segments of a path."""
+    """Return the service with the longest path prefix that matches whole segments of a path."""
     prefix = _trim(path)
     while prefix:
         if prefix in routing.prefixes:
