--- a/heatherkeel/requests/routing.py
+++ b/heatherkeel/requests/routing.py
@@ -1,4 +1,4 @@
-"""Picks the target of a request: by load, in the own availability zone first."""
+"""Picks the target of a request by load, preferring the local availability zone."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 def pick(node: NodeState, request: ActiveRequest, now_ms: int) -> str | None:
-    """Return a target with room for a request, or none.
+    """Return a target with capacity for a request, or `None`.
 
-    The own availability zone goes first; others take what is past its shares.
+    Other availability zones are tried only if the local one has no capacity.
     """
     routing = node.local.routing
     pool = routing.pools.get(request.pool)
@@ -37,7 +37,7 @@
 def _pick_from_zones(
     node: NodeState, zones: Sequence[str], request: ActiveRequest, now_ms: int
 ) -> str | None:
-    """Try the zones in turn, from one drawn by chance so that none is always the first."""
+    """Try each zone, starting at a random one so that no zone is always preferred."""
     pool = node.local.routing.pools[request.pool]
     start = draw(node.local.routing, len(zones)) if zones else 0
     for zone in (*zones[start:], *zones[:start]):
@@ -48,22 +48,21 @@
 
 
 def may_cross(node: NodeState, request: ActiveRequest, now_ms: int) -> bool:
-    """Tell whether a request may go to another availability zone.
+    """Return whether a request may go to another availability zone.
 
-    Once the routing lease and its grace are over, the others use this entry instance's share of
-    targets elsewhere. So the request has to end before.
+    It must end before the routing lease and its grace period do, because other entry instances
+    then use this one's share of targets in other zones.
     """
     lease_end_ms = node.local.lease.valid_until_ms
     return now_ms < lease_end_ms and request.deadline_at_ms <= lease_end_ms + SHARE_GRACE_MS
 
 
 def lease_refusal(node: NodeState, request: ActiveRequest, now_ms: int) -> RefusalReason | None:
-    """Return why a request may not be sent without a routing lease, or none if it may.
+    """Return why a request may not be sent without a routing lease, or `None` if it may.
 
-    Failure: this process is cut off, or was paused, and a drain or another entry instance's claim
-    went on without it. Symptom: a non-idempotent request runs on a target that is being stopped,
-    or runs twice. Enough because without a lease nothing is sent that may not be sent again, and
-    a newcomer that the fold doesn't know sends nothing at all without its sponsor.
+    Prevents a disconnected or paused process from running a non-idempotent request twice or on a
+    stopping target. Without a lease, only idempotent requests are sent; a joining instance that
+    isn't in the fold sends no requests without its sponsor.
     """
     if not may_route(node, now_ms):
         return RefusalReason.NO_SPONSOR
@@ -73,7 +72,7 @@
 
 
 def fits(node: NodeState, request: ActiveRequest, name: str, now_ms: int) -> bool:
-    """Tell whether a target may take a request now."""
+    """Return whether a target may receive a request now."""
     target = node.local.routing.targets[name]
     if name in request.tried or not is_candidate(node.local.routing, name, target):
         return False
@@ -83,20 +82,20 @@
 
 
 def is_candidate(routing: RoutingState, name: str, target: TargetView) -> bool:
-    """Tell whether a target may get new work at all."""
+    """Return whether a target may receive new requests, regardless of its load."""
     out = target.leaving or target.gone or name in routing.leaving
     return target.serving and not out
 
 
 def has_room(node: NodeState, name: str, target: TargetView, now_ms: int) -> bool:
-    """Tell whether a target has a free slot in this entry instance's share."""
+    """Return whether a target has a free slot in this entry instance's share."""
     return target.in_progress < allowed(target, share(node, name, target), now_ms)
 
 
 def _pick_in_zone(
     node: NodeState, pool: PoolView, zone: str, request: ActiveRequest, now_ms: int
 ) -> str | None:
-    """Pick in one zone; look at all its targets only if something may have changed since."""
+    """Pick a target in one zone; skip the search if the zone was full and nothing has changed."""
     generation = node.local.routing.shares.generation
     full = pool.full.get(zone)
     if full is not None and full.generation == generation and now_ms < full.until_ms:
@@ -108,7 +107,7 @@
 
 
 def _take_freed(node: NodeState, full: FullZone, request: ActiveRequest, now_ms: int) -> str | None:
-    """Return a target on which a slot was freed since all were found full."""
+    """Return a target on which a slot was freed after the zone was found full, or `None`."""
     while full.freed:
         name, _ = full.freed.popitem()
         if name in node.local.routing.targets and fits(node, request, name, now_ms):
@@ -119,10 +118,10 @@
 def _pick_among(
     node: NodeState, names: Sequence[str], request: ActiveRequest, now_ms: int
 ) -> str | None:
-    """Return the less loaded of two targets drawn by chance; look at all if neither has room.
+    """Return the less loaded of two random targets, or the least loaded if neither has capacity.
 
-    The least loaded of all would be picked by every entry instance at once, on figures that are
-    already old; two drawn by chance spread the load nearly as well.
+    Two random choices keep the entry instances from all picking the same least loaded target
+    from outdated load figures.
     """
     if not names:
         return None
@@ -136,13 +135,13 @@
 
 
 def _load(node: NodeState, name: str) -> float:
-    """Return what one more request would wait here: its place in the share, times the latency."""
+    """Return the load score of a target for one more request; lower is better."""
     target = node.local.routing.targets[name]
     place = (target.in_progress + 1) / max(1, target.cap)
     return place * target.latency_ms * (1 + target.failures)
 
 
 def draw(routing: RoutingState, count: int) -> int:
-    """Return a number from 0 to `count` - 1; the generator's state is part of the local state."""
+    """Return a pseudorandom number from 0 to `count` - 1 from the generator in the local state."""
     routing.seed = (routing.seed * _MULTIPLIER + _INCREMENT) & _MASK
     return (routing.seed >> 33) % count
