--- a/heatherkeel/requests/queues.py
+++ b/heatherkeel/requests/queues.py
@@ -1,4 +1,4 @@
-"""Bounded queues of requests that wait for a slot: urgent first, owners in turn, none starved."""
+"""Bounded queues of requests that wait for a slot, by urgency and fair between owners."""
 
 from __future__ import annotations
 
@@ -15,11 +15,10 @@
 
 
 def check_room(routing: RoutingState, request: ActiveRequest, now_ms: int) -> RefusalReason | None:
-    """Return why a request can't wait, or none if it can.
+    """Return why a request can't be queued, or `None` if it can.
 
-    Failure: more arrives than the targets can do. Symptom: requests wait until their deadline,
-    are sent too late to be of use, and take the slots of those that could still be answered.
-    Enough because the queue is bounded, and nobody is let in whose turn comes too late.
+    Under overload, requests that would miss their deadline must not take slots from those that
+    can still be answered: the queue is bounded, and refuses requests that it can't serve in time.
     """
     service = routing.services[request.service]
     if routing.waiting.get(request.service, 0) >= service.limits.max_queued:
@@ -32,7 +31,7 @@
 
 
 def _ahead(pool: PoolView, service_class: ServiceClass) -> int:
-    """Return how many waiting requests are served before one of this class."""
+    """Return the number of waiting requests of this class and more urgent ones."""
     rank = CLASS_ORDER.index(service_class)
     return sum(
         queue.waiting for name, queue in pool.queues.items() if CLASS_ORDER.index(name) <= rank
@@ -40,18 +39,18 @@
 
 
 def drain_interval_ms(pool: PoolView) -> float:
-    """Return the usual time between two freed slots; from the latency until one was measured."""
+    """Return the average time between freed slots, estimated from the latency until measured."""
     return pool.drain_interval_ms or pool.latency_ms / max(1, pool.in_progress)
 
 
 def retry_after_ms(pool: PoolView) -> int:
-    """Return when all that waits now will have been served."""
+    """Return the estimated time until all requests that wait now have been served."""
     wait_ms = math.ceil((pool.waiting + 1) * drain_interval_ms(pool))
     return min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, wait_ms))
 
 
 def note_end(pool: PoolView, now_ms: int) -> None:
-    """Learn the drain rate from a freed slot."""
+    """Update the average drain interval after a slot was freed."""
     waiting = pool.waiting > 0
     if waiting and pool.last_end_ms >= 0:
         interval_ms = now_ms - pool.last_end_ms
@@ -61,7 +60,7 @@
 
 
 def enqueue(routing: RoutingState, request_id: str, request: ActiveRequest) -> None:
-    """Let a request wait; `check_room` has let it in."""
+    """Add a request to its queue, after a successful `check_room`."""
     request.phase = RequestPhase.QUEUED
     pool = routing.pools[request.pool]
     queue = pool.queues.setdefault(request.service_class, ClassQueue())
@@ -74,7 +73,7 @@
 
 
 def forget(routing: RoutingState, request: ActiveRequest) -> None:
-    """Stop counting a request that waits no longer; its id is passed over when its turn comes."""
+    """Stop counting a request that no longer waits; `peek` skips its id later."""
     _count(routing, request, -1)
 
 
@@ -86,11 +85,10 @@
 
 
 def next_class(pool: PoolView) -> ServiceClass | None:
-    """Return the class whose turn it is: the most urgent, but none is passed over for ever.
+    """Return the class to serve next: the most urgent, unless another one is starved.
 
-    Failure: urgent requests come without end. Symptom: the rest, say a batch upload, waits until
-    its deadline every time. Enough because a waiting class is served at the latest after
-    `MAX_PASSED_OVER` others.
+    Prevents a continuous stream of urgent requests from starving the other classes: a waiting
+    class becomes due after it was passed over `MAX_PASSED_OVER` times.
     """
     waiting = [name for name in CLASS_ORDER if name in pool.queues and pool.queues[name].waiting]
     if not waiting:
@@ -100,7 +98,7 @@
 
 
 def peek(routing: RoutingState, pool: PoolView, service_class: ServiceClass) -> str:
-    """Return the request of a class whose turn it is; the class must have one waiting."""
+    """Return the next request of a class, which must have one waiting."""
     queue = pool.queues[service_class]
     while True:
         owner = queue.turns[0]
@@ -114,7 +112,7 @@
 
 
 def take(routing: RoutingState, pool: PoolView, service_class: ServiceClass) -> str:
-    """Take the request of a class whose turn it is; its owner's next turn comes last."""
+    """Remove the next request of a class and move its owner to the end of the rotation."""
     request_id = peek(routing, pool, service_class)
     queue = pool.queues[service_class]
     queue.owners[queue.turns[0]].popleft()
@@ -128,7 +126,7 @@
 
 
 def overdue(routing: RoutingState, now_ms: int) -> Iterator[str]:
-    """Yield the waiting requests whose deadline has come."""
+    """Yield the waiting requests whose deadline has passed."""
     while routing.deadlines and routing.deadlines[0][0] <= now_ms:
         _, request_id = heapq.heappop(routing.deadlines)
         if _waits(routing, request_id):
