--- a/heatherkeel/requests/retries.py
+++ b/heatherkeel/requests/retries.py
@@ -1,4 +1,4 @@
-"""Decides whether a failed attempt is followed by another one."""
+"""Decides whether a failed attempt is retried."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     AttemptResult.BROKEN_AFTER_SEND: RetryReason.BROKEN_AFTER_SEND,
     AttemptResult.TIMED_OUT: RetryReason.TIMED_OUT,
 }
-"""Results after which another target may be tried, with the label that counts it."""
+"""Attempt results that allow a retry, with the metric label of each."""
 
 NOT_RUN_RESULTS: Final = frozenset(
     {AttemptResult.REFUSED_BEFORE_START, AttemptResult.CONNECT_FAILED}
 )
-"""Results that prove that the target did not start."""
+"""Attempt results that prove that the target did not start the request."""
 
 
 def budget_of(node: NodeState, service: str) -> RetryBudget:
@@ -40,7 +40,7 @@
 
 
 def earn(node: NodeState, service: str) -> None:
-    """Count a first try, which earns a part of a retry."""
+    """Add the retry budget earned by a first attempt."""
     budget = budget_of(node, service)
     budget.left = min(RETRY_BUDGET_MAX, budget.left + RETRY_EARNED_PER_FIRST_TRY)
 
@@ -48,17 +48,16 @@
 def decide_retry(
     node: NodeState, request: ActiveRequest, result: AttemptResult, now_ms: int
 ) -> Result[str, NoRetryReason]:
-    """Return the target of the next attempt, paid from the budget, or why there is none.
+    """Return the target of the next attempt and charge the budget, or return why there is none.
 
-    Failure: an availability zone goes, every request fails and is sent again. Symptom: the rest
-    gets twice or three times its load and goes too. Enough because retries are a bounded share
-    of first tries, whatever fails.
+    The budget bounds the retries to a fraction of the first attempts, so that retries after the
+    loss of an availability zone don't overload the remaining targets.
     """
     if result is AttemptResult.CALLER_GONE:
         return Err(NoRetryReason.CALLER_GONE)
     if result not in RETRY_REASONS:
         return Err(NoRetryReason.ANSWER_STARTED)
-    # Sent twice, a non-idempotent request could run twice, unless this target has not started.
+    # A non-idempotent request could run twice, unless this target did not start it.
     if not request.idempotent and result not in NOT_RUN_RESULTS:
         return Err(NoRetryReason.NOT_IDEMPOTENT)
     if lease_refusal(node, request, now_ms) is not None:
@@ -80,8 +79,8 @@
 def attempt_timeout_ms(node: NodeState, request: ActiveRequest, now_ms: int) -> int:
     """Return how long the next attempt may take.
 
-    A connection can go silent for good. An attempt that may be followed by another one leaves it
-    half of the time that is left, but never less than a slow answer usually takes.
+    A connection can become unresponsive. If a retry is possible, the attempt may take half of the
+    remaining time or `ATTEMPT_LATENCY_FACTOR` times the average latency, whichever is longer.
     """
     left_ms = max(1, request.deadline_at_ms - now_ms)
     last = not request.idempotent or len(request.tried) + 1 >= MAX_ATTEMPTS
