--- a/heatherkeel/requests/arrival.py
+++ b/heatherkeel/requests/arrival.py
@@ -1,4 +1,4 @@
-"""Takes a request from its arrival to its first send, its place in a queue, or its refusal."""
+"""Handles new requests: sends, queues or refuses them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @listens(RequestArrived)
 def on_request_arrived(node: NodeState, event: RequestArrived) -> list[Effect]:
-    """Send a request at once, let it wait for a slot, or refuse it."""
+    """Send a request at once, queue it for a slot, or refuse it."""
     service = find_service(node.local.routing, event.path)
     if service is None:
         return [not_run(event.request_id, RefusalReason.NO_SERVICE, 0)]
@@ -30,7 +30,7 @@
         return [answer]
     earn(node, service)
     node.local.routing.requests[event.request_id] = request
-    # Nobody overtakes those who wait already.
+    # A new request must not overtake those that already wait.
     waiting = node.local.routing.pools[request.pool].waiting
     target = None if waiting else pick(node, request, event.now_ms)
     if target is not None:
@@ -40,7 +40,7 @@
 
 @listens(InputRefused)
 def on_input_refused(node: NodeState, event: InputRefused) -> list[Effect]:
-    """Refuse what is not well formed; it comes this way to be counted like any refusal."""
+    """Refuse a malformed request, so that it is counted like any other refusal."""
     refusal = Refuse(
         request_id=event.request_id,
         outcome=Outcome.NOT_RUN,
@@ -52,7 +52,7 @@
 
 def _make_request(node: NodeState, event: RequestArrived, service: str) -> ActiveRequest:
     entry = node.local.routing.services[service]
-    # Whatever may be sent twice needs no claim, so its key is of no use.
+    # An idempotent request needs no claim, so its key is ignored.
     key = "" if event.idempotent else event.key
     longest_ms = entry.limits.deadline_ms
     if key:
@@ -73,7 +73,7 @@
 def _answer_at_once(
     node: NodeState, request_id: str, request: ActiveRequest, now_ms: int
 ) -> Effect | None:
-    """Return the final answer to a request that can't run, or whose key already did."""
+    """Return the answer to a request that can't run or whose key was used before, or `None`."""
     if request.key:
         repeat = answer_repeat(node, request_id, request)
         if repeat is not None:
@@ -99,7 +99,7 @@
 
 @listens(CallerGone)
 def on_caller_gone(node: NodeState, event: CallerGone) -> list[Effect]:
-    """Forget a request that waits for nobody; a claim on its way is withdrawn when it is read."""
+    """Drop a queued request without a caller; a pending claim is withdrawn when read back."""
     request = node.local.routing.requests.get(event.request_id)
     if request is None:
         return []
