--- a/heatherkeel/requests/attempts.py
+++ b/heatherkeel/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Takes the end of an attempt: answers, tries another target, or gives up, each at once."""
+"""Handles the end of an attempt: passes on the answer, retries, or refuses the request."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @listens(AttemptEnded)
 def on_attempt_ended(node: NodeState, event: AttemptEnded) -> list[Effect]:
-    """Answer, try another target, or refuse; then give the freed slot to who waits."""
+    """Answer, retry or refuse the request, and assign the freed slot to a waiting request."""
     request = node.local.routing.requests.get(event.request_id)
     if request is None or request.phase is not RequestPhase.SENT:
         return []
@@ -84,7 +84,7 @@
 
 
 def _give_up(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> Effect:
-    """Return the final answer, at once, by what is known of all attempts."""
+    """Return the final answer; its outcome takes all attempts into account."""
     reason = REFUSAL_OF_RESULT[event.result]
     if event.result is AttemptResult.BROKEN_IN_ANSWER:
         return AbortAnswer(request_id=event.request_id, reason=reason)
