--- a/heatherkeel/requests/checks.py
+++ b/heatherkeel/requests/checks.py
@@ -1,4 +1,4 @@
-"""Checkers of the promises on claims; tests, replay and measurement share them."""
+"""Invariant checks for claims, shared by tests, replay and measurement."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from .models import Claim, ClaimStatus
 
 MAX_OPEN_ATTEMPTS: Final = 1
-"""Claims of one key that have not ended as *not run*: only one of them may have run."""
+"""Maximum number of claims of one key that have not ended as *not run*."""
 
 
 @checks("a key runs at most once")
 def check_attempts(state: FleetState) -> Iterator[Violation]:
-    """Find keys that were claimed again though an earlier claim may have run."""
+    """Find keys that were claimed again although an earlier claim may have run."""
     for name, held in state.claims.claims.items():
         if held.attempt - held.not_run_attempts > MAX_OPEN_ATTEMPTS:
             yield Violation(
@@ -32,7 +32,7 @@
 def check_outcomes(
     before: FleetState, effects: list[Effect], after: FleetState
 ) -> Iterator[Violation]:
-    """Find recorded outcomes that changed, and open claims that passed to somebody else."""
+    """Find recorded outcomes that changed, and open claims that were replaced."""
     for name, held in before.claims.claims.items():
         now = after.claims.claims.get(name)
         if now is not None and _was_changed(held, now):
