--- a/heatherkeel/requests/effects.py
+++ b/heatherkeel/requests/effects.py
@@ -1,4 +1,4 @@
-"""Effects of this subject: what the entry instance has to do for its callers and targets."""
+"""Effects of requests, which the entry process carries out for callers and targets."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 class Send(Effect):
     """Send a request to a target, and report `AttemptEnded` after at most `timeout_ms`.
 
-    `address` is IP number and port. With `fresh_connection` no pooled connection may be used:
-    something between the two ends may have lost track of it.
+    `address` is IP address and port. With `fresh_connection`, no pooled connection may be used,
+    because a network device may have dropped its state.
     """
 
     request_id: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PassOn(Effect):
-    """The answer is whole: the caller gets it, with outcome *ran*."""
+    """Pass a complete answer on to the caller, with outcome *ran*."""
 
     request_id: str
     target: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refuse(Effect):
-    """Give the caller its final answer, at once; `retry_after_ms` 0 leaves the header out."""
+    """Send the caller a final refusal; `retry_after_ms` 0 omits the header."""
 
     request_id: str
     outcome: Outcome
@@ -56,7 +56,7 @@
 class WriteClaim(Effect):
     """Append a claim under `record_id`; report `ClaimWriteFailed` if it isn't read back in time.
 
-    Its decision comes as `ClaimRead`.
+    Its decision is reported as `ClaimRead`.
     """
 
     request_id: str
@@ -67,9 +67,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClaimRead(Effect):
-    """A claim was read back from the log; `ClaimDecided` has to follow at once.
+    """A claim was read back from the log; `ClaimDecided` must follow at once.
 
-    The detour brings in the clock: the process may have been paused since it wrote the claim.
+    That event provides the current time: the process may have been paused since the claim.
     """
 
     request_id: str
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Replay(Effect):
-    """Give the caller the recorded answer of the first request with its key, as *ran*."""
+    """Send the caller the recorded answer of the first request with its key, as *ran*."""
 
     request_id: str
     answer: RecordedAnswer
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AbortAnswer(Effect):
-    """Break the caller's connection: a part of the answer went out and the rest won't come."""
+    """Close the caller's connection, because the rest of a partly sent answer is missing."""
 
     request_id: str
     reason: RefusalReason
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Retried(Effect):
-    """A failed attempt is followed by another one; counted by reason."""
+    """A failed attempt is retried; counted by reason."""
 
     request_id: str
     reason: RetryReason
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NotRetried(Effect):
-    """A failed attempt is the last one; counted by reason."""
+    """A failed attempt is not retried; counted by reason."""
 
     request_id: str
     reason: NoRetryReason
@@ -118,14 +118,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CloseConnections(Effect):
-    """Close the idle connections to a target; those in use go on."""
+    """Close the idle connections to a target; connections in use stay open."""
 
     target: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TargetEjected(Effect):
-    """A target fails everything; it gets nothing before `until_ms` (monotonic)."""
+    """A target failed repeatedly; it gets no requests before `until_ms` (monotonic)."""
 
     target: str
     until_ms: int
@@ -133,6 +133,6 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TargetReturned(Effect):
-    """An ejection is over; the target is tried again, one request at a time at first."""
+    """An ejection has ended; the target is probed with one request at a time at first."""
 
     target: str
