--- a/heatherkeel/requests/events.py
+++ b/heatherkeel/requests/events.py
@@ -1,4 +1,4 @@
-"""Local events of this subject: what happens to requests and targets at one entry instance."""
+"""Local events for requests and targets at one entry instance."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class AttemptResult(StrEnum):
-    """How one send to a target ended."""
+    """How one attempt ended."""
 
     WHOLE_ANSWER = "whole_answer"
     REFUSED_BEFORE_START = "refused_before_start"
-    """The target answered that it did not start: `heatherkeel-outcome: not_run`."""
+    """The target answered that it did not start, with `heatherkeel-outcome: not_run`."""
     CONNECT_FAILED = "connect_failed"
-    """No connection, so no byte of the request was sent."""
+    """No connection was made, so no byte of the request was sent."""
     BROKEN_AFTER_SEND = "broken_after_send"
-    """Some of the request may have been sent; nothing of an answer went to the caller."""
+    """Part of the request may have been sent; no part of an answer went to the caller."""
     BROKEN_IN_ANSWER = "broken_in_answer"
-    """A part of the answer already went to the caller."""
+    """Part of the answer had already been sent to the caller."""
     TIMED_OUT = "timed_out"
-    """`Send.timeout_ms` passed without a whole answer, and nothing of it went to the caller."""
+    """`Send.timeout_ms` passed without a complete answer; no part of it went to the caller."""
     CALLER_GONE = "caller_gone"
 
 
 class LeavingSource(StrEnum):
-    """Who said that a target is leaving."""
+    """Source of a report that a target is leaving."""
 
     PLATFORM_LIST = "platform_list"
     TARGET = "target"
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestArrived(LocalEvent):
-    """A caller's request is wholly read; `deadline_ms` is the time the caller gives it.
+    """A caller's request was read completely; `deadline_ms` is the time allowed by the caller.
 
     A request with a `key` is sent only after its claim was read back. `fingerprint` is a digest
-    of method, path and body; empty without a key.
+    of method, path and body, or empty without a key.
     """
 
     request_id: str
@@ -50,14 +50,14 @@
     key: str = ""
     fingerprint: str = ""
     deadline_ms: int = 0
-    """0 takes the service's `deadline_ms`; a longer one than the service's is cut to it."""
+    """0 means the service's `deadline_ms`, which is also the maximum."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AttemptEnded(LocalEvent):
-    """The send to a target is over, and its connection is idle again or closed.
+    """An attempt has ended, and its connection is idle again or closed.
 
-    `server_error` tells a whole answer with a 5xx status, which counts against the target.
+    `server_error` marks a complete answer with a 5xx status, which counts as a failure.
     """
 
     request_id: str
@@ -66,12 +66,12 @@
     latency_ms: int
     server_error: bool = False
     answer: RecordedAnswer | None = None
-    """What to record of a whole answer; needed for requests with a key."""
+    """Answer to record; required for complete answers to requests with a key."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class InputRefused(LocalEvent):
-    """A caller's request is not well formed; `detail` says in words what is wrong with it."""
+    """A caller's request is malformed; `detail` describes the error."""
 
     request_id: str
     reason: RefusalReason
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClaimDecided(LocalEvent):
-    """The answer to `ClaimRead`: takes the claim's decision on, at the time that it is now."""
+    """Follows `ClaimRead` with the decision on the claim and the current time."""
 
     request_id: str
     refusal: RejectReason | None
@@ -95,9 +95,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerGone(LocalEvent):
-    """The caller hung up before its request was sent; after that it is an `AttemptEnded`.
+    """The caller disconnected before its request was sent; after that, see `AttemptEnded`.
 
-    A request with a key that was sent goes on without its caller, so that a repeat finds its
+    A sent request with a key continues without its caller, so that a repeated request finds its
     outcome.
     """
 
@@ -106,12 +106,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class QueueTick(LocalEvent):
-    """Time has passed: ends what has outlived its deadline, and ejections that are over."""
+    """Triggers the handling of passed deadlines and ended ejections."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TargetLeaving(LocalEvent):
-    """A target must get no new work: the platform's list or the target itself says so."""
+    """A target must get no new requests, according to the platform's list or the target."""
 
     target: str
     source: LeavingSource
@@ -126,11 +126,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TargetGone(LocalEvent):
-    """The platform's list has lost the target."""
+    """The platform's list no longer contains the target."""
 
     target: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FleetRestored(LocalEvent):
-    """The fold was replaced by a snapshot: what was derived from it has to be derived anew."""
+    """The fold was replaced by a snapshot, so state derived from it must be rebuilt."""
