--- a/heatherkeel/requests/health.py
+++ b/heatherkeel/requests/health.py
@@ -1,4 +1,4 @@
-"""Ejects targets that fail everything, and takes them back slowly."""
+"""Ejects targets that fail repeatedly, and returns them with a slow start."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 def allowed(target: TargetView, cap: int, now_ms: int) -> int:
-    """Return how many requests a target may have now, out of a share of `cap`."""
+    """Return how many requests a target may have now, at most `cap`."""
     if target.ejected_until_ms > now_ms:
         return 0
     if target.probing:
         return min(1, cap)
     if target.ramp_from_ms < 0:
         return cap
-    # A target that just came back is cold. Its full share at once would fail again, and it would
-    # go in and out of ejection for ever.
+    # A target that just returned may not be warmed up. The full share at once could make it fail
+    # and be ejected again and again.
     passed_ms = now_ms - target.ramp_from_ms
     return min(cap, max(1, cap * passed_ms // SLOW_START_MS))
 
 
 def note_success(target: TargetView, *, latency_ms: int, now_ms: int) -> None:
-    """Take in a whole answer."""
+    """Record a successful attempt."""
     target.latency_ms += (latency_ms - target.latency_ms) / LATENCY_WEIGHT
     target.failures = 0
     if target.probing:
@@ -45,7 +45,7 @@
 
 
 def note_failure(node: NodeState, name: str, *, now_ms: int) -> list[Effect]:
-    """Take in a failed attempt, and eject a target that fails everything."""
+    """Record a failed attempt, and eject a target that fails repeatedly."""
     routing = node.local.routing
     target = routing.targets[name]
     target.failures += 1
@@ -68,12 +68,11 @@
 
 
 def may_eject(routing: RoutingState, target: TargetView) -> bool:
-    """Tell whether the pool can do without one more target.
+    """Return whether one more target of the pool may be ejected.
 
-    Failure: something shared by all targets is broken, or a caller's requests fail wherever they
-    go, and one target after another looks bad. Symptom: the pool empties and the ejection itself
-    breaks the availability budget. Enough because what stays is at least what every service of
-    the pool needs, and at least half.
+    Prevents ejections from emptying the pool when a shared dependency fails or a caller's
+    requests fail on every target. At least half of the candidates remain, and at least the
+    `min_serving` of each service.
     """
     candidates = [
         name for names in routing.pools[target.pool].candidates.values() for name in names
@@ -89,7 +88,7 @@
 
 
 def end_ejections(routing: RoutingState, now_ms: int) -> list[Effect]:
-    """Take back the targets whose ejection is over."""
+    """Return the targets to service whose ejection has ended."""
     over = [name for name, until_ms in routing.ejected.items() if until_ms <= now_ms]
     for name in over:
         del routing.ejected[name]
