--- a/heatherkeel/requests/reasons.py
+++ b/heatherkeel/requests/reasons.py
@@ -1,4 +1,4 @@
-"""Outcomes and reasons that callers and counters see: one counter label for each."""
+"""Outcomes and reasons that are sent to callers and used as metric labels."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(StrEnum):
-    """What is known of one request when its final answer is given."""
+    """Outcome of a request, as reported with its final answer."""
 
     RAN = "ran"
     NOT_RUN = "not_run"
@@ -14,7 +14,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Why a request got no answer of a target."""
+    """Why a request got no answer from a target."""
 
     NO_SERVICE = "no_service"
     NO_TARGET = "no_target"
@@ -42,7 +42,7 @@
 
 
 class RetryReason(StrEnum):
-    """Why a request was sent to another target."""
+    """Why a request was retried."""
 
     TARGET_REFUSED = "target_refused"
     CONNECT_FAILED = "connect_failed"
@@ -51,7 +51,7 @@
 
 
 class NoRetryReason(StrEnum):
-    """Why a failed attempt was not followed by another one."""
+    """Why a failed attempt was not retried."""
 
     NOT_IDEMPOTENT = "not_idempotent"
     ANSWER_STARTED = "answer_started"
