--- a/heatherkeel/requests/sending.py
+++ b/heatherkeel/requests/sending.py
@@ -1,4 +1,4 @@
-"""Takes and frees slots, and makes the effects that start and end a request."""
+"""Takes and frees slots, and creates the effects that start and end a request."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 def begin(
     node: NodeState, request_id: str, request: ActiveRequest, target: str, now_ms: int
 ) -> Effect:
-    """Take a slot and send the request; one with a key needs its claim first.
+    """Take a slot, and send the request or first write its claim if it has a key.
 
-    The slot comes before the claim, so that a request that finds none costs no append.
+    The slot is taken before the claim, so that a request without a slot appends no record.
     """
     take_slot(node, request, target)
     if not request.key:
@@ -45,7 +45,7 @@
 def begin_again(
     node: NodeState, request_id: str, request: ActiveRequest, target: str, now_ms: int
 ) -> Send:
-    """Take a slot for the next attempt; a claim that was won stays won."""
+    """Take a slot and send the next attempt; an accepted claim stays valid."""
     take_slot(node, request, target)
     return send(node, request_id, request, now_ms)
 
@@ -55,8 +55,8 @@
     timeout_ms = attempt_timeout_ms(node, request, now_ms)
     request.phase = RequestPhase.SENT
     request.tried = (*request.tried, request.target)
-    # A pooled connection may have been lost without a sign. What may not be sent twice, and what
-    # has failed once, goes over a new one.
+    # A pooled connection may be dead without notice, so non-idempotent requests and retries use a
+    # new one.
     fresh = not request.idempotent or len(request.tried) > 1
     return Send(
         request_id=request_id,
@@ -76,7 +76,7 @@
 
 
 def free_slot(node: NodeState, request: ActiveRequest) -> None:
-    """Give the slot of a request back; a target that the fold dropped goes with its last one."""
+    """Free the slot of a request; drop the target if it was the last one and the fold has none."""
     routing = node.local.routing
     target = routing.targets[request.target]
     target.in_progress -= 1
@@ -90,7 +90,7 @@
 
 
 def why_too_late(node: NodeState, request: ActiveRequest, now_ms: int) -> RefusalReason | None:
-    """Return why a request may not be sent any more, or none."""
+    """Return why a request may no longer be sent, or `None` if it may."""
     if request.deadline_at_ms <= now_ms:
         return RefusalReason.DEADLINE
     return lease_refusal(node, request, now_ms)
