--- a/heatherkeel/requests/waiting.py
+++ b/heatherkeel/requests/waiting.py
@@ -1,4 +1,4 @@
-"""Serves the requests that wait for a slot, and ends those that waited too long."""
+"""Serves queued requests, and ends those whose deadline has passed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @listens(QueueTick)
 def on_queue_tick(node: NodeState, event: QueueTick) -> list[Effect]:
-    """End what has waited too long, and use what time has freed."""
+    """End overdue requests and ejections, and serve waiting requests."""
     routing = node.local.routing
     effects = end_ejections(routing, event.now_ms)
     for request_id in overdue(routing, event.now_ms):
@@ -36,9 +36,9 @@
 
 
 def serve_waiting(node: NodeState, pool: str, freed: str | None, now_ms: int) -> list[Effect]:
-    """Send waiting requests in their order, until one finds no slot.
+    """Send waiting requests in queue order until no slot is left for the next one.
 
-    With a slot that was just freed, there is one for one of them.
+    With `freed`, the target of a slot that was just freed, at most one request is sent.
     """
     routing = node.local.routing
     view = routing.pools[pool]
@@ -63,7 +63,7 @@
 def _slot_for(
     node: NodeState, request: ActiveRequest, freed: str | None, now_ms: int
 ) -> str | None:
-    """Return the slot that was just freed if it fits: no need to look at all targets then."""
+    """Return the target of the freed slot if it fits, which avoids a search of all targets."""
     if freed in node.local.routing.targets and fits(node, request, freed, now_ms):
         return freed
     return pick(node, request, now_ms)
