--- a/heatherkeel/requests/limits.py
+++ b/heatherkeel/requests/limits.py
@@ -26,7 +26,9 @@
 """Record kinds that may change which entry instances share a target."""
 
 
-def allotted(view: ShareView, incarnation: str, zone: str, name: str, target: TargetView) -> int:
+def assigned_slots(
+    view: ShareView, incarnation: str, zone: str, name: str, target: TargetView
+) -> int:
     """Return the number of slots of target `name` that a view assigns to an incarnation in `zone`.
 
     Most slots go to entry instances in the target's own availability zone, the rest to those in
@@ -35,20 +37,22 @@
     """
     slots = view.slots.get(target.pool, 0)
     near = [member for member in view.members if member.zone == target.zone]
-    far = [m for m in view.members if m.zone != target.zone and not m.lapsed]
+    far = [m for m in view.members if m.zone != target.zone and not m.expired]
     far_slots = slots * SPILL_PERCENT // 100 if near else slots
     if not far:
         far_slots = 0
-    members, part = (near, slots - far_slots) if zone == target.zone else (far, far_slots)
-    return _part(members, part, incarnation, name)
+    members, available_slots = (
+        (near, slots - far_slots) if zone == target.zone else (far, far_slots)
+    )
+    return _divide_slots(members, available_slots, incarnation, name)
 
 
-def _part(members: Sequence[ShareMember], slots: int, incarnation: str, name: str) -> int:
+def _divide_slots(members: Sequence[ShareMember], slots: int, incarnation: str, name: str) -> int:
     """Divide slots evenly; which members get the remainder depends on the target's name."""
     for rank, member in enumerate(members):
         if member.incarnation == incarnation:
-            turned = (rank + zlib.crc32(name.encode())) % len(members)
-            return slots // len(members) + (turned < slots % len(members))
+            position = (rank + zlib.crc32(name.encode())) % len(members)
+            return slots // len(members) + (position < slots % len(members))
     return 0
 
 
@@ -62,17 +66,17 @@
     shares = node.local.routing.shares
     if target.cap_generation != shares.generation:
         target.cap_generation = shares.generation
-        target.cap = _least(node, _held_views(node, target.zone), name, target)
-    return _with_newcomers(node, name, target)
+        target.cap = _smallest_share(node, _views_in_use(node, target.zone), name, target)
+    return _apply_sponsorship(node, name, target)
 
 
-def _least(node: NodeState, views: list[ShareView], name: str, target: TargetView) -> int:
+def _smallest_share(node: NodeState, views: list[ShareView], name: str, target: TargetView) -> int:
     local = node.local
-    shares = (allotted(view, local.incarnation, local.zone, name, target) for view in views)
+    shares = (assigned_slots(view, local.incarnation, local.zone, name, target) for view in views)
     return min(shares, default=0)
 
 
-def _with_newcomers(node: NodeState, name: str, target: TargetView) -> int:
+def _apply_sponsorship(node: NodeState, name: str, target: TargetView) -> int:
     """Divide a share in the local availability zone between a sponsor and its joining instances.
 
     An instance that started while the platform is down is in no view. Without a slot from its
@@ -86,8 +90,8 @@
         left = target.cap - SPONSORED_SLOTS * len(local.peers.sponsored)
         return max(left, min(target.cap, 1))
     newest = local.routing.shares.views[-1]
-    lender = allotted(newest, sponsorship.sponsor, local.zone, name, target)
-    return min(lender - 1, SPONSORED_SLOTS) if lender else 0
+    sponsor_slots = assigned_slots(newest, sponsorship.sponsor, local.zone, name, target)
+    return min(sponsor_slots - 1, SPONSORED_SLOTS) if sponsor_slots else 0
 
 
 def acknowledged_offset(node: NodeState) -> int:
@@ -115,20 +119,21 @@
 
 def _exceeds(node: NodeState, view: ShareView) -> bool:
     return any(
-        target.in_progress > allotted(view, node.local.incarnation, node.local.zone, name, target)
+        target.in_progress
+        > assigned_slots(view, node.local.incarnation, node.local.zone, name, target)
         for name, target in node.local.routing.targets.items()
         if target.in_progress
     )
 
 
-def _held_views(node: NodeState, zone: str) -> list[ShareView]:
+def _views_in_use(node: NodeState, zone: str) -> list[ShareView]:
     """Return the views of a zone's targets that some entry instance may still use.
 
     Empty if an entry instance may use a view older than those that this process knows.
     """
     views = node.local.routing.shares.views
-    left_behind = _count_up_to(views, _acknowledged_by(node.fleet, waiting_for=zone))
-    return views[left_behind - 1 :] if left_behind else []
+    acknowledged = _count_up_to(views, _acknowledged_by(node.fleet, waiting_for=zone))
+    return views[acknowledged - 1 :] if acknowledged else []
 
 
 def _count_up_to(views: list[ShareView], offset: int) -> int:
@@ -144,17 +149,17 @@
     included until its lease expires.
     """
     membership = fleet.membership
-    live = [entry for entry in all_incarnations(membership) if not _is_lapsed(fleet, entry)]
-    lapsed = [entry for entry in membership.entries.values() if _is_lapsed(fleet, entry)]
-    near = [entry for entry in lapsed if waiting_for is None or entry.zone == waiting_for]
+    live = [entry for entry in all_incarnations(membership) if not _is_expired(fleet, entry)]
+    expired = [entry for entry in membership.entries.values() if _is_expired(fleet, entry)]
+    near = [entry for entry in expired if waiting_for is None or entry.zone == waiting_for]
     return min((entry.shares_offset for entry in live + near), default=fleet.next_offset - 1)
 
 
-def _is_lapsed(fleet: FleetState, entry: EntryInstance) -> bool:
+def _is_expired(fleet: FleetState, entry: EntryInstance) -> bool:
     return entry.lease_until_ms + SHARE_GRACE_MS < fleet.now_ms
 
 
-def note_view(node: NodeState) -> None:
+def record_view(node: NodeState) -> None:
     """Store a view of the folded state if it differs from the last one."""
     shares = node.local.routing.shares
     view = ShareView(
@@ -167,18 +172,18 @@
         shares.views.append(view)
         shares.generation += 1
     shares.next_change_ms = _next_change_ms(node.fleet)
-    _note_acknowledged(node)
+    _drop_unused_views(node)
 
 
-def _note_acknowledged(node: NodeState) -> None:
+def _drop_unused_views(node: NodeState) -> None:
     """Drop views that are no longer in use, and recompute shares that may grow."""
     shares = node.local.routing.shares
     if len(shares.views) == shares.live_views == 1:
         return
-    settled = _count_up_to(shares.views, _acknowledged_by(node.fleet, waiting_for=None))
-    del shares.views[: max(0, settled - 1)]
+    acknowledged = _count_up_to(shares.views, _acknowledged_by(node.fleet, waiting_for=None))
+    del shares.views[: max(0, acknowledged - 1)]
     live = _count_up_to(shares.views, _acknowledged_by(node.fleet, waiting_for=""))
-    if settled > 1 or live != shares.live_views:
+    if acknowledged > 1 or live != shares.live_views:
         shares.generation += 1
     shares.live_views = live
 
@@ -189,7 +194,7 @@
             instance=name,
             incarnation=entry.incarnation,
             zone=entry.zone,
-            lapsed=_is_lapsed(fleet, entry),
+            expired=_is_expired(fleet, entry),
         )
         for name, entry in sorted(fleet.membership.entries.items())
     )
@@ -212,53 +217,53 @@
 def _next_change_ms(fleet: FleetState) -> int:
     """Return the log time at which the next lease and its grace period end; 0 if none will."""
     ends = [entry.lease_until_ms for entry in all_incarnations(fleet.membership)]
-    lapses = [end + SHARE_GRACE_MS + 1 for end in ends]
-    return min((lapse for lapse in lapses if lapse > fleet.now_ms), default=0)
+    expiries = [end + SHARE_GRACE_MS + 1 for end in ends]
+    return min((expiry for expiry in expiries if expiry > fleet.now_ms), default=0)
 
 
 @listens(Settled)
 def on_settled(node: NodeState, effect: Settled) -> list[Effect]:
     """Apply membership changes, and check for expired leases."""
     if effect.kind in MEMBERSHIP_CHANGES:
-        note_view(node)
+        record_view(node)
         return []
     if effect.kind == "membership.renew":
-        _on_renewal(node)
-    return _on_time(node)
+        _handle_renewal(node)
+    return _check_expired_leases(node)
 
 
-def _on_renewal(node: NodeState) -> None:
+def _handle_renewal(node: NodeState) -> None:
     """Grow shares after an acknowledgement; include an instance again that renewed its lease."""
     views = node.local.routing.shares.views
-    if views and any(member.lapsed for member in views[-1].members):
-        note_view(node)
+    if views and any(member.expired for member in views[-1].members):
+        record_view(node)
     else:
-        _note_acknowledged(node)
+        _drop_unused_views(node)
 
 
 @listens(Skipped)
 def on_skipped(node: NodeState, effect: Skipped) -> list[Effect]:
     """Check for expired leases."""
-    return _on_time(node)
+    return _check_expired_leases(node)
 
 
 @listens(Duplicate)
 def on_duplicate(node: NodeState, effect: Duplicate) -> list[Effect]:
     """Check for expired leases."""
-    return _on_time(node)
+    return _check_expired_leases(node)
 
 
-def _on_time(node: NodeState) -> list[Effect]:
+def _check_expired_leases(node: NodeState) -> list[Effect]:
     """Check for expired leases at each record, so that all detect an expiry at the same offset."""
     if 0 < node.local.routing.shares.next_change_ms <= node.fleet.now_ms:
-        note_view(node)
+        record_view(node)
     return []
 
 
 @listens(CatalogueChanged)
 def on_catalogue_changed(node: NodeState, effect: CatalogueChanged) -> list[Effect]:
     """Apply changes to the slots per worker."""
-    note_view(node)
+    record_view(node)
     return []
 
 
@@ -269,5 +274,5 @@
     Earlier views aren't needed: a restored entry instance has no share before its own join.
     """
     node.local.routing.shares.views.clear()
-    note_view(node)
+    record_view(node)
     return []
--- a/heatherkeel/requests/local.py
+++ b/heatherkeel/requests/local.py
@@ -123,7 +123,7 @@
     instance: str
     incarnation: str
     zone: str
-    lapsed: bool
+    expired: bool
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
