--- a/heatherkeel/requests/claims.py
+++ b/heatherkeel/requests/claims.py
@@ -17,7 +17,7 @@
     ClaimOutcome,
     ClaimStatus,
     RecordedAnswer,
-    claimed_request,
+    claimed_request_id,
 )
 from .reasons import Outcome, RefusalReason
 from .reducer import claimant_may_answer, find_claim
@@ -85,7 +85,7 @@
     If a claim is accepted after its caller got *not run*, a repeated request would get *in
     progress* and then *unknown*, although nothing runs. Recording *not run* frees the key.
     """
-    request_id = claimed_request(node.local.incarnation, effect.claim)
+    request_id = claimed_request_id(node.local.incarnation, effect.claim)
     if request_id is None or effect.status is not ClaimStatus.CLAIMED:
         return []
     if request_id in node.local.routing.requests:
--- a/heatherkeel/requests/const.py
+++ b/heatherkeel/requests/const.py
@@ -7,7 +7,7 @@
 MAX_ATTEMPTS: Final = 3
 """Maximum attempts per idempotent request, including the first one."""
 
-RETRY_EARNED_PER_FIRST_TRY: Final = 20
+RETRY_EARNED_PER_FIRST_ATTEMPT: Final = 20
 """Retry budget earned by each first attempt, in hundredths of a retry."""
 
 RETRY_COST: Final = 100
@@ -55,7 +55,7 @@
 SHARE_GRACE_MS: Final = 10_000
 """Time after the end of a routing lease in which its holder's requests may still run."""
 
-FULL_ZONE_MS: Final = 50
+FULL_ZONE_RECHECK_MS: Final = 50
 """Time for which a full zone is not searched again, unless a slot is freed there."""
 
 SPONSORED_SLOTS: Final = 1
--- a/heatherkeel/requests/health.py
+++ b/heatherkeel/requests/health.py
@@ -23,11 +23,11 @@
         return 0
     if target.probing:
         return min(1, cap)
-    if target.ramp_from_ms < 0:
+    if target.slow_start_from_ms < 0:
         return cap
     # A target that just returned may not be warmed up. The full share at once could make it fail
     # and be ejected again and again.
-    passed_ms = now_ms - target.ramp_from_ms
+    passed_ms = now_ms - target.slow_start_from_ms
     return min(cap, max(1, cap * passed_ms // SLOW_START_MS))
 
 
@@ -37,10 +37,10 @@
     target.failures = 0
     if target.probing:
         target.probing = False
-        target.ramp_from_ms = now_ms
+        target.slow_start_from_ms = now_ms
         return
-    if target.ramp_from_ms >= 0 and now_ms - target.ramp_from_ms >= SLOW_START_MS:
-        target.ramp_from_ms = -1
+    if target.slow_start_from_ms >= 0 and now_ms - target.slow_start_from_ms >= SLOW_START_MS:
+        target.slow_start_from_ms = -1
         target.ejections = 0
 
 
@@ -59,7 +59,7 @@
     duration_ms = min(EJECT_MAX_MS, EJECT_BASE_MS << min(target.ejections - 1, 8))
     target.ejected_until_ms = now_ms + duration_ms
     target.probing = True
-    target.ramp_from_ms = -1
+    target.slow_start_from_ms = -1
     routing.ejected[name] = target.ejected_until_ms
     return [
         TargetEjected(target=name, until_ms=target.ejected_until_ms),
--- a/heatherkeel/requests/local.py
+++ b/heatherkeel/requests/local.py
@@ -25,7 +25,7 @@
     serving: bool = True
     """Whether the target is serving according to the fold."""
     leaving: bool = False
-    leaving_heard_ms: int = 0
+    leaving_reported_ms: int = 0
     """When the target itself last reported that it is leaving; 0 if it never did."""
     gone: bool = False
     in_progress: int = 0
@@ -37,7 +37,7 @@
     ejected_until_ms: int = 0
     probing: bool = False
     """Whether it returned from an ejection without a success since."""
-    ramp_from_ms: int = -1
+    slow_start_from_ms: int = -1
     """Beginning of the slow start; -1 if none is in progress."""
     cap: int = 0
     cap_generation: int = -1
@@ -77,10 +77,10 @@
 
 @dataclass(kw_only=True)
 class ClassQueue:
-    """Waiting requests of one class by owner; owners are served in the order of `turns`."""
+    """Waiting requests of one class by owner; owners are served in the order of `rotation`."""
 
     owners: dict[str, deque[str]] = field(default_factory=dict)
-    turns: deque[str] = field(default_factory=deque)
+    rotation: deque[str] = field(default_factory=deque)
     waiting: int = 0
     passed_over: int = 0
 
@@ -104,7 +104,7 @@
 
     candidates: dict[str, list[str]] = field(default_factory=dict)
     """Targets that may receive new requests, by availability zone, sorted by name."""
-    full: dict[str, FullZone] = field(default_factory=dict)
+    full_zones: dict[str, FullZone] = field(default_factory=dict)
     """Availability zones in which the last search found no capacity."""
     queues: dict[ServiceClass, ClassQueue] = field(default_factory=dict)
     waiting: int = 0
@@ -152,7 +152,7 @@
 class RetryBudget:
     """Remaining retry budget of one service, in hundredths of a retry."""
 
-    left: int = RETRY_BUDGET_MAX
+    remaining: int = RETRY_BUDGET_MAX
 
 
 @dataclass(kw_only=True)
--- a/heatherkeel/requests/models.py
+++ b/heatherkeel/requests/models.py
@@ -103,7 +103,7 @@
     return f"{incarnation}-{request_id}"
 
 
-def claimed_request(incarnation: str, claim: str) -> str | None:
+def claimed_request_id(incarnation: str, claim: str) -> str | None:
     """Return the request id of a claim made by this incarnation, or `None` for other claims."""
     prefix = claim_id(incarnation, "")
     return claim.removeprefix(prefix) if claim.startswith(prefix) else None
--- a/heatherkeel/requests/queues.py
+++ b/heatherkeel/requests/queues.py
@@ -66,7 +66,7 @@
     queue = pool.queues.setdefault(request.service_class, ClassQueue())
     if request.owner not in queue.owners:
         queue.owners[request.owner] = deque()
-        queue.turns.append(request.owner)
+        queue.rotation.append(request.owner)
     queue.owners[request.owner].append(request_id)
     _count(routing, request, 1)
     heapq.heappush(routing.deadlines, (request.deadline_at_ms, request_id))
@@ -101,13 +101,13 @@
     """Return the next request of a class, which must have one waiting."""
     queue = pool.queues[service_class]
     while True:
-        owner = queue.turns[0]
+        owner = queue.rotation[0]
         ids = queue.owners[owner]
         while ids and not _waits(routing, ids[0]):
             ids.popleft()
         if ids:
             return ids[0]
-        queue.turns.popleft()
+        queue.rotation.popleft()
         del queue.owners[owner]
 
 
@@ -115,8 +115,8 @@
     """Remove the next request of a class and move its owner to the end of the rotation."""
     request_id = peek(routing, pool, service_class)
     queue = pool.queues[service_class]
-    queue.owners[queue.turns[0]].popleft()
-    queue.turns.rotate(-1)
+    queue.owners[queue.rotation[0]].popleft()
+    queue.rotation.rotate(-1)
     queue.passed_over = 0
     for name, other in pool.queues.items():
         if name is not service_class and other.waiting:
--- a/heatherkeel/requests/retries.py
+++ b/heatherkeel/requests/retries.py
@@ -13,7 +13,7 @@
     MAX_ATTEMPTS,
     RETRY_BUDGET_MAX,
     RETRY_COST,
-    RETRY_EARNED_PER_FIRST_TRY,
+    RETRY_EARNED_PER_FIRST_ATTEMPT,
 )
 from .events import AttemptResult
 from .local import ActiveRequest, RetryBudget
@@ -42,7 +42,7 @@
 def earn(node: NodeState, service: str) -> None:
     """Add the retry budget earned by a first attempt."""
     budget = budget_of(node, service)
-    budget.left = min(RETRY_BUDGET_MAX, budget.left + RETRY_EARNED_PER_FIRST_TRY)
+    budget.remaining = min(RETRY_BUDGET_MAX, budget.remaining + RETRY_EARNED_PER_FIRST_ATTEMPT)
 
 
 def decide_retry(
@@ -67,12 +67,12 @@
     if now_ms >= request.deadline_at_ms:
         return Err(NoRetryReason.DEADLINE)
     budget = budget_of(node, request.service)
-    if budget.left < RETRY_COST:
+    if budget.remaining < RETRY_COST:
         return Err(NoRetryReason.BUDGET_EMPTY)
     target = pick(node, request, now_ms)
     if target is None:
         return Err(NoRetryReason.NO_OTHER_TARGET)
-    budget.left -= RETRY_COST
+    budget.remaining -= RETRY_COST
     return Ok(target)
 
 
@@ -84,7 +84,7 @@
     """
     left_ms = max(1, request.deadline_at_ms - now_ms)
     last = not request.idempotent or len(request.tried) + 1 >= MAX_ATTEMPTS
-    if last or budget_of(node, request.service).left < RETRY_COST:
+    if last or budget_of(node, request.service).remaining < RETRY_COST:
         return left_ms
     usual_ms = node.local.routing.pools[request.pool].latency_ms
     return min(left_ms, max(left_ms // 2, int(usual_ms * ATTEMPT_LATENCY_FACTOR)))
--- a/heatherkeel/requests/routing.py
+++ b/heatherkeel/requests/routing.py
@@ -7,7 +7,7 @@
 from heatherkeel.core.node import NodeState
 from heatherkeel.membership.sponsor import may_route
 
-from .const import FULL_ZONE_MS, SHARE_GRACE_MS
+from .const import FULL_ZONE_RECHECK_MS, SHARE_GRACE_MS
 from .health import allowed
 from .limits import share
 from .local import ActiveRequest, FullZone, PoolView, RoutingState, TargetView
@@ -97,12 +97,14 @@
 ) -> str | None:
     """Pick a target in one zone; skip the search if the zone was full and nothing has changed."""
     generation = node.local.routing.shares.generation
-    full = pool.full.get(zone)
+    full = pool.full_zones.get(zone)
     if full is not None and full.generation == generation and now_ms < full.until_ms:
         return _take_freed(node, full, request, now_ms)
     picked = _pick_among(node, pool.candidates.get(zone, ()), request, now_ms)
     if picked is None and not request.tried:
-        pool.full[zone] = FullZone(generation=generation, until_ms=now_ms + FULL_ZONE_MS)
+        pool.full_zones[zone] = FullZone(
+            generation=generation, until_ms=now_ms + FULL_ZONE_RECHECK_MS
+        )
     return picked
 
 
--- a/heatherkeel/requests/sending.py
+++ b/heatherkeel/requests/sending.py
@@ -82,7 +82,7 @@
     target.in_progress -= 1
     pool = routing.pools[request.pool]
     pool.in_progress -= 1
-    full = pool.full.get(target.zone)
+    full = pool.full_zones.get(target.zone)
     if full is not None:
         full.freed[request.target] = None
     if not target.in_progress and request.target not in node.fleet.pools.instances:
--- a/heatherkeel/requests/targets.py
+++ b/heatherkeel/requests/targets.py
@@ -46,7 +46,7 @@
     if event.source is LeavingSource.PLATFORM_LIST:
         routing.leaving.add(event.target)
     elif target is not None:
-        target.leaving_heard_ms = max(1, event.now_ms)
+        target.leaving_reported_ms = max(1, event.now_ms)
     if target is None:
         return []
     target.leaving = True
@@ -66,10 +66,10 @@
     target = routing.targets.get(event.target)
     if target is None or not (target.leaving or target.gone):
         return []
-    if target.leaving_heard_ms and event.now_ms - target.leaving_heard_ms < LIST_LAG_MS:
+    if target.leaving_reported_ms and event.now_ms - target.leaving_reported_ms < LIST_LAG_MS:
         return []
     target.leaving = False
-    target.leaving_heard_ms = 0
+    target.leaving_reported_ms = 0
     target.gone = False
     _index(routing, event.target, target)
     return []
@@ -131,7 +131,7 @@
     """Add a target to the candidates of its pool, or remove it if it may get no requests."""
     _unindex(routing, name, target)
     pool = routing.pools.setdefault(target.pool, PoolView())
-    pool.full.pop(target.zone, None)
+    pool.full_zones.pop(target.zone, None)
     if target.serving and not target.leaving and not target.gone:
         insort(pool.candidates.setdefault(target.zone, []), name)
 
