--- a/heatherkeel/requests/checks.py
+++ b/heatherkeel/requests/checks.py
@@ -18,13 +18,13 @@
 @checks("a key runs at most once")
 def check_attempts(state: FleetState) -> Iterator[Violation]:
     """Find keys that were claimed again although an earlier claim may have run."""
-    for name, held in state.claims.claims.items():
-        if held.attempt - held.not_run_attempts > MAX_OPEN_ATTEMPTS:
+    for name, claim in state.claims.claims.items():
+        if claim.attempt - claim.not_run_attempts > MAX_OPEN_ATTEMPTS:
             yield Violation(
                 promise="a key runs at most once",
                 offset=state.next_offset - 1,
                 where=name,
-                detail=f"{held.attempt} claims, {held.not_run_attempts} ended not run",
+                detail=f"{claim.attempt} claims, {claim.not_run_attempts} ended not run",
             )
 
 
@@ -33,22 +33,22 @@
     before: FleetState, effects: list[Effect], after: FleetState
 ) -> Iterator[Violation]:
     """Find recorded outcomes that changed, and open claims that were replaced."""
-    for name, held in before.claims.claims.items():
-        now = after.claims.claims.get(name)
-        if now is not None and _was_changed(held, now):
+    for name, old in before.claims.claims.items():
+        new = after.claims.claims.get(name)
+        if new is not None and _was_changed(old, new):
             yield Violation(
                 promise="an outcome never changes",
                 offset=after.next_offset - 1,
                 where=name,
-                detail=f"{held.status} of {held.claim} became {now.status} of {now.claim}",
+                detail=f"{old.status} of {old.claim} became {new.status} of {new.claim}",
             )
 
 
-def _was_changed(held: Claim, now: Claim) -> bool:
-    if held.status is ClaimStatus.NOT_RUN:
-        return now.claim == held.claim and now.status is not ClaimStatus.NOT_RUN
-    if now.claim != held.claim:
-        return now.attempt > held.attempt
-    if held.status is ClaimStatus.CLAIMED:
+def _was_changed(old: Claim, new: Claim) -> bool:
+    if old.status is ClaimStatus.NOT_RUN:
+        return new.claim == old.claim and new.status is not ClaimStatus.NOT_RUN
+    if new.claim != old.claim:
+        return new.attempt > old.attempt
+    if old.status is ClaimStatus.CLAIMED:
         return False
-    return (now.status, now.answer) != (held.status, held.answer)
+    return (new.status, new.answer) != (old.status, old.answer)
--- a/heatherkeel/requests/claims.py
+++ b/heatherkeel/requests/claims.py
@@ -20,7 +20,7 @@
     claimed_request_id,
 )
 from .reasons import Outcome, RefusalReason
-from .reducer import claimant_may_answer, find_claim
+from .reducer import can_claimant_answer, find_claim
 from .routing import is_candidate, pick
 from .sending import free_slot, not_run, send, take_slot, why_too_late
 from .waiting import serve_waiting
@@ -36,16 +36,16 @@
 
 def answer_repeat(node: NodeState, request_id: str, request: ActiveRequest) -> Effect | None:
     """Return the answer to a request whose key was claimed before, or `None` if it may run."""
-    held = find_claim(node.fleet, request.service, request.key)
-    if held is None:
+    existing = find_claim(node.fleet, request.service, request.key)
+    if existing is None:
         return None
-    if held.fingerprint != request.fingerprint:
+    if existing.fingerprint != request.fingerprint:
         return not_run(request_id, RefusalReason.KEY_CONFLICT, 0)
-    if held.status is ClaimStatus.NOT_RUN:
+    if existing.status is ClaimStatus.NOT_RUN:
         return None
-    if held.status is ClaimStatus.RAN and held.answer is not None:
-        return _replay(request_id, held.answer)
-    return _still_open(node, request_id, held)
+    if existing.status is ClaimStatus.RAN and existing.answer is not None:
+        return _replay(request_id, existing.answer)
+    return _still_open(node, request_id, existing)
 
 
 def _replay(request_id: str, answer: RecordedAnswer) -> Effect:
@@ -55,9 +55,9 @@
     return Refuse(request_id=request_id, outcome=Outcome.RAN, reason=reason)
 
 
-def _still_open(node: NodeState, request_id: str, held: Claim) -> Refuse:
+def _still_open(node: NodeState, request_id: str, existing: Claim) -> Refuse:
     """Return *in progress* while the claimant can still answer, and *unknown* after that."""
-    if held.status is ClaimStatus.CLAIMED and claimant_may_answer(node.fleet, held):
+    if existing.status is ClaimStatus.CLAIMED and can_claimant_answer(node.fleet, existing):
         return Refuse(
             request_id=request_id,
             outcome=Outcome.UNKNOWN,
--- a/heatherkeel/requests/reducer.py
+++ b/heatherkeel/requests/reducer.py
@@ -32,8 +32,8 @@
     """Grant a key to the first claimant with a routing lease; after *not run* it is free again."""
     _purge(state.claims, meta.now_ms)
     name = claim_name(body.service, body.key)
-    held = find_claim(state, body.service, body.key)
-    refusal = _check_claim(state, meta, body, held)
+    existing = find_claim(state, body.service, body.key)
+    refusal = _check_claim(state, meta, body, existing)
     if refusal is not None:
         return Err(refusal)
     state.claims.claims[name] = Claim(
@@ -43,14 +43,14 @@
         incarnation=body.incarnation,
         changed_ms=meta.now_ms,
         offset=meta.offset,
-        attempt=1 if held is None else held.attempt + 1,
-        not_run_attempts=0 if held is None else held.not_run_attempts,
+        attempt=1 if existing is None else existing.attempt + 1,
+        not_run_attempts=0 if existing is None else existing.not_run_attempts,
     )
     return Ok(_accept(meta, body.service, body.key, state.claims.claims[name]))
 
 
 def _check_claim(
-    state: FleetState, meta: RecordMeta, body: KeyClaim, held: Claim | None
+    state: FleetState, meta: RecordMeta, body: KeyClaim, existing: Claim | None
 ) -> Rejected | None:
     """Reject a claim on a key that may already have run, or by a claimant that can't route.
 
@@ -58,40 +58,40 @@
     when a paused process resumes with an old claim: all claims of a key are decided here in log
     order, and only the accepted one is sent.
     """
-    if held is not None and held.fingerprint != body.fingerprint:
+    if existing is not None and existing.fingerprint != body.fingerprint:
         return Rejected(reason=RejectReason.CONFLICT, detail="key used for another request")
-    if held is not None and held.status is not ClaimStatus.NOT_RUN:
-        return Rejected(reason=RejectReason.ALREADY_EXISTS, detail=held.status)
+    if existing is not None and existing.status is not ClaimStatus.NOT_RUN:
+        return Rejected(reason=RejectReason.ALREADY_EXISTS, detail=existing.status)
     entry = state.membership.entries.get(body.instance)
     if entry is None or entry.incarnation != body.incarnation:
         return Rejected(reason=RejectReason.NOT_FOUND, detail=body.instance)
     if entry.lease_until_ms < meta.now_ms:
         return Rejected(reason=RejectReason.WRONG_STATE, detail="routing lease lapsed")
-    if held is None and len(state.claims.claims) >= MAX_CLAIMS:
+    if existing is None and len(state.claims.claims) >= MAX_CLAIMS:
         return Rejected(reason=RejectReason.QUOTA, detail=f"{MAX_CLAIMS} keys are remembered")
     return None
 
 
 @handles("requests.outcome", ClaimOutcome)
-def settle_claim(
+def record_outcome(
     state: FleetState, meta: RecordMeta, body: ClaimOutcome
 ) -> Result[Accepted, Rejected]:
     """Record how a claimed request ended; only the first outcome of a claim is accepted."""
-    held = find_claim(state, body.service, body.key)
-    if held is None or held.claim != body.claim:
+    existing = find_claim(state, body.service, body.key)
+    if existing is None or existing.claim != body.claim:
         return Err(Rejected(reason=RejectReason.NOT_FOUND, detail=body.claim))
-    if held.status is not ClaimStatus.CLAIMED or body.status is ClaimStatus.CLAIMED:
-        return Err(Rejected(reason=RejectReason.WRONG_STATE, detail=held.status))
+    if existing.status is not ClaimStatus.CLAIMED or body.status is ClaimStatus.CLAIMED:
+        return Err(Rejected(reason=RejectReason.WRONG_STATE, detail=existing.status))
     if (body.answer is not None) != (body.status is ClaimStatus.RAN):
         return Err(Rejected(reason=RejectReason.MALFORMED, detail="answer goes with ran"))
-    held.status = body.status
-    held.changed_ms = meta.now_ms
-    held.not_run_attempts += body.status is ClaimStatus.NOT_RUN
-    held.answer = _keep(state.claims, body.answer)
-    return Ok(_accept(meta, body.service, body.key, held))
+    existing.status = body.status
+    existing.changed_ms = meta.now_ms
+    existing.not_run_attempts += body.status is ClaimStatus.NOT_RUN
+    existing.answer = _limit_kept_body(state.claims, body.answer)
+    return Ok(_accept(meta, body.service, body.key, existing))
 
 
-def _keep(claims: ClaimsState, answer: RecordedAnswer | None) -> RecordedAnswer | None:
+def _limit_kept_body(claims: ClaimsState, answer: RecordedAnswer | None) -> RecordedAnswer | None:
     """Keep an answer's body while the total allows it, and its digest always."""
     if answer is None:
         return None
@@ -103,22 +103,22 @@
 
 def find_claim(state: FleetState, service: str, key: str) -> Claim | None:
     """Return the claim of a key, unless it is past its retention time."""
-    held = state.claims.claims.get(claim_name(service, key))
-    if held is None or _is_forgotten(held, state.now_ms):
+    existing = state.claims.claims.get(claim_name(service, key))
+    if existing is None or _is_past_retention(existing, state.now_ms):
         return None
-    return held
+    return existing
 
 
-def claimant_may_answer(state: FleetState, held: Claim) -> bool:
+def can_claimant_answer(state: FleetState, existing: Claim) -> bool:
     """Return whether the claimant may still answer: same incarnation, with a valid lease."""
-    entry = state.membership.entries.get(held.instance)
-    if entry is None or entry.incarnation != held.incarnation:
+    entry = state.membership.entries.get(existing.instance)
+    if entry is None or entry.incarnation != existing.incarnation:
         return False
     return entry.lease_until_ms >= state.now_ms
 
 
-def _is_forgotten(held: Claim, now_ms: int) -> bool:
-    return held.changed_ms + KEY_RETENTION_MS < now_ms
+def _is_past_retention(existing: Claim, now_ms: int) -> bool:
+    return existing.changed_ms + KEY_RETENTION_MS < now_ms
 
 
 def _purge(claims: ClaimsState, now_ms: int) -> None:
@@ -130,15 +130,19 @@
         return
     claims.purged_ms = now_ms
     claims.claims = {
-        name: held for name, held in claims.claims.items() if not _is_forgotten(held, now_ms)
+        name: existing
+        for name, existing in claims.claims.items()
+        if not _is_past_retention(existing, now_ms)
     }
     claims.kept_chars = sum(
-        len(held.answer.body) for held in claims.claims.values() if held.answer is not None
+        len(existing.answer.body)
+        for existing in claims.claims.values()
+        if existing.answer is not None
     )
 
 
-def _accept(meta: RecordMeta, service: str, key: str, held: Claim) -> Accepted:
+def _accept(meta: RecordMeta, service: str, key: str, existing: Claim) -> Accepted:
     changed = ClaimChanged(
-        service=service, key=key, claim=held.claim, status=held.status, offset=meta.offset
+        service=service, key=key, claim=existing.claim, status=existing.status, offset=meta.offset
     )
-    return Accepted(version=held.attempt, effects=(changed,))
+    return Accepted(version=existing.attempt, effects=(changed,))
