--- a/heatherkeel/requests/arrival.py
+++ b/heatherkeel/requests/arrival.py
@@ -5,7 +5,7 @@
 from heatherkeel.core.models import Effect
 from heatherkeel.core.node import NodeState, listens
 
-from .claims import answer_repeat
+from .claims import answer_repeated_key
 from .const import MAX_KEYED_DEADLINE_MS
 from .effects import Queued, Refuse
 from .events import CallerGone, InputRefused, RequestArrived
@@ -75,7 +75,7 @@
 ) -> Effect | None:
     """Return the answer to a request that can't run or whose key was used before, or `None`."""
     if request.key:
-        repeat = answer_repeat(node, request_id, request)
+        repeat = answer_repeated_key(node, request_id, request)
         if repeat is not None:
             return repeat
     refusal = lease_refusal(node, request, now_ms)
--- a/heatherkeel/requests/attempts.py
+++ b/heatherkeel/requests/attempts.py
@@ -9,7 +9,7 @@
 from heatherkeel.core.models import Effect
 from heatherkeel.core.node import NodeState, listens
 
-from .claims import outcome_of
+from .claims import outcome_effects
 from .const import LATENCY_WEIGHT
 from .effects import AbortAnswer, NotRetried, PassOn, Refuse, Retried
 from .events import AttemptEnded, AttemptResult
@@ -65,7 +65,7 @@
 def _answer(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> list[Effect]:
     del node.local.routing.requests[event.request_id]
     status = ClaimStatus.RAN if event.answer is not None else ClaimStatus.UNKNOWN
-    record = outcome_of(request, status, event.answer)
+    record = outcome_effects(request, status, event.answer)
     return [PassOn(request_id=event.request_id, target=event.target), *record]
 
 
@@ -80,7 +80,7 @@
     del node.local.routing.requests[event.request_id]
     not_retried = NotRetried(request_id=event.request_id, reason=decision.err_value)
     status = ClaimStatus.UNKNOWN if request.may_have_run else ClaimStatus.NOT_RUN
-    return [not_retried, _give_up(node, request, event), *outcome_of(request, status)]
+    return [not_retried, _give_up(node, request, event), *outcome_effects(request, status)]
 
 
 def _give_up(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> Effect:
--- a/heatherkeel/requests/claims.py
+++ b/heatherkeel/requests/claims.py
@@ -25,7 +25,7 @@
 from .sending import free_slot, not_run, send, take_slot, why_too_late
 from .waiting import serve_waiting
 
-REFUSAL_OF_CLAIM: Final = {
+REFUSAL_BY_REJECTION: Final = {
     RejectReason.CONFLICT: RefusalReason.KEY_CONFLICT,
     RejectReason.NOT_FOUND: RefusalReason.LEASE_LAPSED,
     RejectReason.WRONG_STATE: RefusalReason.LEASE_LAPSED,
@@ -34,7 +34,7 @@
 """Refusal reasons sent to the caller for rejected claims, except `ALREADY_EXISTS`."""
 
 
-def answer_repeat(node: NodeState, request_id: str, request: ActiveRequest) -> Effect | None:
+def answer_repeated_key(node: NodeState, request_id: str, request: ActiveRequest) -> Effect | None:
     """Return the answer to a request whose key was claimed before, or `None` if it may run."""
     existing = find_claim(node.fleet, request.service, request.key)
     if existing is None:
@@ -45,7 +45,7 @@
         return None
     if existing.status is ClaimStatus.RAN and existing.answer is not None:
         return _replay(request_id, existing.answer)
-    return _still_open(node, request_id, existing)
+    return _refuse_open_key(node, request_id, existing)
 
 
 def _replay(request_id: str, answer: RecordedAnswer) -> Effect:
@@ -55,7 +55,7 @@
     return Refuse(request_id=request_id, outcome=Outcome.RAN, reason=reason)
 
 
-def _still_open(node: NodeState, request_id: str, existing: Claim) -> Refuse:
+def _refuse_open_key(node: NodeState, request_id: str, existing: Claim) -> Refuse:
     """Return *in progress* while the claimant can still answer, and *unknown* after that."""
     if existing.status is ClaimStatus.CLAIMED and can_claimant_answer(node.fleet, existing):
         return Refuse(
@@ -90,7 +90,7 @@
         return []
     if request_id in node.local.routing.requests:
         return []
-    return [_outcome(effect.service, effect.key, effect.claim, ClaimStatus.NOT_RUN)]
+    return [_write_outcome(effect.service, effect.key, effect.claim, ClaimStatus.NOT_RUN)]
 
 
 @listens(ClaimDecided)
@@ -100,27 +100,31 @@
     if request is None or request.phase is not RequestPhase.CLAIMING:
         return []
     if event.refusal is not None:
-        answer = _lost(node, event.request_id, request, event.refusal)
-        return _end(node, event.request_id, answer, event.now_ms)
-    reason = _why_not_sent(node, request, event.now_ms)
+        answer = _answer_rejected_claim(node, event.request_id, request, event.refusal)
+        return _finish(node, event.request_id, answer, event.now_ms)
+    reason = _check_before_send(node, request, event.now_ms)
     if reason is None:
         return [send(node, event.request_id, request, event.now_ms)]
-    effects = outcome_of(request, ClaimStatus.NOT_RUN)
-    return effects + _end(node, event.request_id, not_run(event.request_id, reason), event.now_ms)
+    effects = outcome_effects(request, ClaimStatus.NOT_RUN)
+    return effects + _finish(
+        node, event.request_id, not_run(event.request_id, reason), event.now_ms
+    )
 
 
-def _lost(
+def _answer_rejected_claim(
     node: NodeState, request_id: str, request: ActiveRequest, refusal: RejectReason
 ) -> Effect:
     if refusal is RejectReason.ALREADY_EXISTS:
-        repeat = answer_repeat(node, request_id, request)
+        repeat = answer_repeated_key(node, request_id, request)
         if repeat is not None:
             return repeat
-    reason = REFUSAL_OF_CLAIM.get(refusal, RefusalReason.CLAIM_NOT_WRITTEN)
+    reason = REFUSAL_BY_REJECTION.get(refusal, RefusalReason.CLAIM_NOT_WRITTEN)
     return not_run(request_id, reason)
 
 
-def _why_not_sent(node: NodeState, request: ActiveRequest, now_ms: int) -> RefusalReason | None:
+def _check_before_send(
+    node: NodeState, request: ActiveRequest, now_ms: int
+) -> RefusalReason | None:
     """Return why a claimed request can no longer be sent, or `None`; may change its target."""
     if request.abandoned:
         return RefusalReason.CALLER_GONE
@@ -146,25 +150,25 @@
         return []
     node.local.routing.claims.pop(request.claim, None)
     answer = not_run(event.request_id, RefusalReason.CLAIM_NOT_WRITTEN)
-    return _end(node, event.request_id, answer, event.now_ms)
+    return _finish(node, event.request_id, answer, event.now_ms)
 
 
-def _end(node: NodeState, request_id: str, answer: Effect, now_ms: int) -> list[Effect]:
+def _finish(node: NodeState, request_id: str, answer: Effect, now_ms: int) -> list[Effect]:
     request = node.local.routing.requests.pop(request_id)
     free_slot(node, request)
     return [answer, *serve_waiting(node, request.pool, request.target, now_ms)]
 
 
-def outcome_of(
+def outcome_effects(
     request: ActiveRequest, status: ClaimStatus, answer: RecordedAnswer | None = None
 ) -> list[Effect]:
     """Return the record of how a claimed request ended; empty for a request without a claim."""
     if not request.claim:
         return []
-    return [_outcome(request.service, request.key, request.claim, status, answer)]
+    return [_write_outcome(request.service, request.key, request.claim, status, answer)]
 
 
-def _outcome(
+def _write_outcome(
     service: str, key: str, claim: str, status: ClaimStatus, answer: RecordedAnswer | None = None
 ) -> WriteOutcome:
     body = ClaimOutcome(service=service, key=key, claim=claim, status=status, answer=answer)
