--- a/heatherkeel/requests/targets.py
+++ b/heatherkeel/requests/targets.py
@@ -18,7 +18,7 @@
 @listens(InstanceChanged)
 def on_instance_changed(node: NodeState, effect: InstanceChanged) -> list[Effect]:
     """Apply an instance's pool, address and status."""
-    return _take_instance(node, effect.instance)
+    return _apply_instance(node, effect.instance)
 
 
 @listens(FleetRestored)
@@ -26,15 +26,15 @@
     """Apply all instances and services of a restored fold."""
     routing = node.local.routing
     known = set(node.fleet.pools.instances) | set(routing.targets)
-    effects = [effect for name in sorted(known) for effect in _take_instance(node, name)]
-    _take_services(node)
+    effects = [effect for name in sorted(known) for effect in _apply_instance(node, name)]
+    _apply_services(node)
     return effects
 
 
 @listens(CatalogueChanged)
 def on_catalogue_changed(node: NodeState, effect: CatalogueChanged) -> list[Effect]:
     """Apply the services of the catalogue."""
-    _take_services(node)
+    _apply_services(node)
     return []
 
 
@@ -50,7 +50,7 @@
     if target is None:
         return []
     target.leaving = True
-    _index(routing, event.target, target)
+    _update_candidates(routing, event.target, target)
     return [CloseConnections(target=event.target)]
 
 
@@ -71,7 +71,7 @@
     target.leaving = False
     target.leaving_reported_ms = 0
     target.gone = False
-    _index(routing, event.target, target)
+    _update_candidates(routing, event.target, target)
     return []
 
 
@@ -83,67 +83,67 @@
     if target is None:
         return []
     target.gone = True
-    _index(routing, event.target, target)
+    _update_candidates(routing, event.target, target)
     return [CloseConnections(target=event.target)]
 
 
-def _take_instance(node: NodeState, name: str) -> list[Effect]:
+def _apply_instance(node: NodeState, name: str) -> list[Effect]:
     routing = node.local.routing
     instance = node.fleet.pools.instances.get(name)
     target = routing.targets.get(name)
     if instance is None:
-        return _drop(routing, name, target)
+        return _remove_target(routing, name, target)
     if target is None:
         target = TargetView(address=instance.address, zone=instance.zone, pool=instance.pool)
         target.leaving = name in routing.leaving
         routing.targets[name] = target
-    return _update(routing, name, target, instance)
+    return _update_target(routing, name, target, instance)
 
 
-def _update(
+def _update_target(
     routing: RoutingState, name: str, target: TargetView, instance: Instance
 ) -> list[Effect]:
     was_serving = target.serving
     moved = target.address != instance.address or target.pool != instance.pool
-    _unindex(routing, name, target)
+    _remove_candidate(routing, name, target)
     target.serving = instance.status is InstanceStatus.SERVING
     target.address = instance.address
     target.zone = instance.zone
     target.pool = instance.pool
     target.cap_generation = -1
-    _index(routing, name, target)
+    _update_candidates(routing, name, target)
     if moved or (was_serving and not target.serving):
         return [CloseConnections(target=name)]
     return []
 
 
-def _drop(routing: RoutingState, name: str, target: TargetView | None) -> list[Effect]:
+def _remove_target(routing: RoutingState, name: str, target: TargetView | None) -> list[Effect]:
     if target is None:
         return []
     target.serving = False
-    _unindex(routing, name, target)
+    _remove_candidate(routing, name, target)
     if not target.in_progress:
         del routing.targets[name]
     return [CloseConnections(target=name)]
 
 
-def _index(routing: RoutingState, name: str, target: TargetView) -> None:
+def _update_candidates(routing: RoutingState, name: str, target: TargetView) -> None:
     """Add a target to the candidates of its pool, or remove it if it may get no requests."""
-    _unindex(routing, name, target)
+    _remove_candidate(routing, name, target)
     pool = routing.pools.setdefault(target.pool, PoolView())
     pool.full_zones.pop(target.zone, None)
     if target.serving and not target.leaving and not target.gone:
         insort(pool.candidates.setdefault(target.zone, []), name)
 
 
-def _unindex(routing: RoutingState, name: str, target: TargetView) -> None:
+def _remove_candidate(routing: RoutingState, name: str, target: TargetView) -> None:
     pool = routing.pools.get(target.pool)
     names = pool.candidates.get(target.zone, []) if pool else []
     if name in names:
         names.remove(name)
 
 
-def _take_services(node: NodeState) -> None:
+def _apply_services(node: NodeState) -> None:
     routing = node.local.routing
     routing.services = {
         name: stored.entry
@@ -152,12 +152,12 @@
     }
     routing.prefixes = {}
     for name, service in routing.services.items():
-        routing.prefixes.setdefault(_trim(service.path_prefix), name)
+        routing.prefixes.setdefault(_strip_trailing_slash(service.path_prefix), name)
 
 
 def find_service(routing: RoutingState, path: str) -> str | None:
     """Return the service with the longest path prefix that matches whole segments of a path."""
-    prefix = _trim(path)
+    prefix = _strip_trailing_slash(path)
     while prefix:
         if prefix in routing.prefixes:
             return routing.prefixes[prefix]
@@ -165,5 +165,5 @@
     return routing.prefixes.get("")
 
 
-def _trim(path: str) -> str:
+def _strip_trailing_slash(path: str) -> str:
     return path.rstrip("/")
