--- a/heatherkeel/requests/routing.py
+++ b/heatherkeel/requests/routing.py
@@ -28,10 +28,10 @@
     if pool is None:
         return None
     picked = _pick_in_zone(node, pool, node.local.zone, request, now_ms)
-    if picked is not None or not may_cross(node, request, now_ms):
+    if picked is not None or not can_leave_zone(node, request, now_ms):
         return picked
-    away = [zone for zone in sorted(pool.candidates) if zone != node.local.zone]
-    return _pick_from_zones(node, away, request, now_ms)
+    other_zones = [zone for zone in sorted(pool.candidates) if zone != node.local.zone]
+    return _pick_from_zones(node, other_zones, request, now_ms)
 
 
 def _pick_from_zones(
@@ -39,7 +39,7 @@
 ) -> str | None:
     """Try each zone, starting at a random one so that no zone is always preferred."""
     pool = node.local.routing.pools[request.pool]
-    start = draw(node.local.routing, len(zones)) if zones else 0
+    start = draw_number(node.local.routing, len(zones)) if zones else 0
     for zone in (*zones[start:], *zones[:start]):
         picked = _pick_in_zone(node, pool, zone, request, now_ms)
         if picked is not None:
@@ -47,7 +47,7 @@
     return None
 
 
-def may_cross(node: NodeState, request: ActiveRequest, now_ms: int) -> bool:
+def can_leave_zone(node: NodeState, request: ActiveRequest, now_ms: int) -> bool:
     """Return whether a request may go to another availability zone.
 
     It must end before the routing lease and its grace period do, because other entry instances
@@ -71,23 +71,23 @@
     return None
 
 
-def fits(node: NodeState, request: ActiveRequest, name: str, now_ms: int) -> bool:
+def can_take_request(node: NodeState, request: ActiveRequest, name: str, now_ms: int) -> bool:
     """Return whether a target may receive a request now."""
     target = node.local.routing.targets[name]
     if name in request.tried or not is_candidate(node.local.routing, name, target):
         return False
-    if target.zone != node.local.zone and not may_cross(node, request, now_ms):
+    if target.zone != node.local.zone and not can_leave_zone(node, request, now_ms):
         return False
-    return has_room(node, name, target, now_ms)
+    return has_free_slot(node, name, target, now_ms)
 
 
 def is_candidate(routing: RoutingState, name: str, target: TargetView) -> bool:
     """Return whether a target may receive new requests, regardless of its load."""
-    out = target.leaving or target.gone or name in routing.leaving
-    return target.serving and not out
+    excluded = target.leaving or target.gone or name in routing.leaving
+    return target.serving and not excluded
 
 
-def has_room(node: NodeState, name: str, target: TargetView, now_ms: int) -> bool:
+def has_free_slot(node: NodeState, name: str, target: TargetView, now_ms: int) -> bool:
     """Return whether a target has a free slot in this entry instance's share."""
     return target.in_progress < allowed(target, share(node, name, target), now_ms)
 
@@ -99,8 +99,8 @@
     generation = node.local.routing.shares.generation
     full = pool.full_zones.get(zone)
     if full is not None and full.generation == generation and now_ms < full.until_ms:
-        return _take_freed(node, full, request, now_ms)
-    picked = _pick_among(node, pool.candidates.get(zone, ()), request, now_ms)
+        return _pick_freed(node, full, request, now_ms)
+    picked = _pick_by_load(node, pool.candidates.get(zone, ()), request, now_ms)
     if picked is None and not request.tried:
         pool.full_zones[zone] = FullZone(
             generation=generation, until_ms=now_ms + FULL_ZONE_RECHECK_MS
@@ -108,16 +108,16 @@
     return picked
 
 
-def _take_freed(node: NodeState, full: FullZone, request: ActiveRequest, now_ms: int) -> str | None:
+def _pick_freed(node: NodeState, full: FullZone, request: ActiveRequest, now_ms: int) -> str | None:
     """Return a target on which a slot was freed after the zone was found full, or `None`."""
     while full.freed:
         name, _ = full.freed.popitem()
-        if name in node.local.routing.targets and fits(node, request, name, now_ms):
+        if name in node.local.routing.targets and can_take_request(node, request, name, now_ms):
             return name
     return None
 
 
-def _pick_among(
+def _pick_by_load(
     node: NodeState, names: Sequence[str], request: ActiveRequest, now_ms: int
 ) -> str | None:
     """Return the less loaded of two random targets, or the least loaded if neither has capacity.
@@ -127,23 +127,23 @@
     """
     if not names:
         return None
-    first = names[draw(node.local.routing, len(names))]
-    second = names[draw(node.local.routing, len(names))]
-    usable = [name for name in (first, second) if fits(node, request, name, now_ms)]
+    first = names[draw_number(node.local.routing, len(names))]
+    second = names[draw_number(node.local.routing, len(names))]
+    usable = [name for name in (first, second) if can_take_request(node, request, name, now_ms)]
     if usable:
         return min(usable, key=lambda name: _load(node, name))
-    usable = [name for name in names if fits(node, request, name, now_ms)]
+    usable = [name for name in names if can_take_request(node, request, name, now_ms)]
     return min(usable, key=lambda name: _load(node, name), default=None)
 
 
 def _load(node: NodeState, name: str) -> float:
     """Return the load score of a target for one more request; lower is better."""
     target = node.local.routing.targets[name]
-    place = (target.in_progress + 1) / max(1, target.cap)
-    return place * target.latency_ms * (1 + target.failures)
+    position = (target.in_progress + 1) / max(1, target.cap)
+    return position * target.latency_ms * (1 + target.failures)
 
 
-def draw(routing: RoutingState, count: int) -> int:
+def draw_number(routing: RoutingState, count: int) -> int:
     """Return a pseudorandom number from 0 to `count` - 1 from the generator in the local state."""
     routing.seed = (routing.seed * _MULTIPLIER + _INCREMENT) & _MASK
     return (routing.seed >> 33) % count
--- a/heatherkeel/requests/waiting.py
+++ b/heatherkeel/requests/waiting.py
@@ -11,7 +11,7 @@
 from .local import ActiveRequest
 from .queues import forget, next_class, overdue, peek, retry_after_ms, take
 from .reasons import RefusalReason
-from .routing import fits, pick
+from .routing import can_take_request, pick
 from .sending import begin, not_run, why_too_late
 
 
@@ -64,6 +64,6 @@
     node: NodeState, request: ActiveRequest, freed: str | None, now_ms: int
 ) -> str | None:
     """Return the target of the freed slot if it fits, which avoids a search of all targets."""
-    if freed in node.local.routing.targets and fits(node, request, freed, now_ms):
+    if freed in node.local.routing.targets and can_take_request(node, request, freed, now_ms):
         return freed
     return pick(node, request, now_ms)
