--- a/heatherkeel/requests/attempts.py
+++ b/heatherkeel/requests/attempts.py
@@ -13,7 +13,7 @@
 from .const import LATENCY_WEIGHT
 from .effects import AbortAnswer, NotRetried, PassOn, Refuse, Retried
 from .events import AttemptEnded, AttemptResult
-from .health import note_failure, note_success
+from .health import record_failure, record_success
 from .local import ActiveRequest, RequestPhase
 from .models import ClaimStatus
 from .queues import note_end, retry_after_ms
@@ -54,9 +54,9 @@
     if event.result is AttemptResult.CALLER_GONE:
         return []
     if event.result is not AttemptResult.WHOLE_ANSWER or event.server_error:
-        return note_failure(node, event.target, now_ms=event.now_ms)
+        return record_failure(node, event.target, now_ms=event.now_ms)
     target = node.local.routing.targets[event.target]
-    note_success(target, latency_ms=event.latency_ms, now_ms=event.now_ms)
+    record_success(target, latency_ms=event.latency_ms, now_ms=event.now_ms)
     pool = node.local.routing.pools[request.pool]
     pool.latency_ms += (event.latency_ms - pool.latency_ms) / LATENCY_WEIGHT
     return []
--- a/heatherkeel/requests/health.py
+++ b/heatherkeel/requests/health.py
@@ -17,7 +17,7 @@
 from .local import RoutingState, TargetView
 
 
-def allowed(target: TargetView, cap: int, now_ms: int) -> int:
+def allowed_requests(target: TargetView, cap: int, now_ms: int) -> int:
     """Return how many requests a target may have now, at most `cap`."""
     if target.ejected_until_ms > now_ms:
         return 0
@@ -31,7 +31,7 @@
     return min(cap, max(1, cap * passed_ms // SLOW_START_MS))
 
 
-def note_success(target: TargetView, *, latency_ms: int, now_ms: int) -> None:
+def record_success(target: TargetView, *, latency_ms: int, now_ms: int) -> None:
     """Record a successful attempt."""
     target.latency_ms += (latency_ms - target.latency_ms) / LATENCY_WEIGHT
     target.failures = 0
@@ -44,7 +44,7 @@
         target.ejections = 0
 
 
-def note_failure(node: NodeState, name: str, *, now_ms: int) -> list[Effect]:
+def record_failure(node: NodeState, name: str, *, now_ms: int) -> list[Effect]:
     """Record a failed attempt, and eject a target that fails repeatedly."""
     routing = node.local.routing
     target = routing.targets[name]
@@ -53,7 +53,7 @@
         return []
     if target.failures < EJECT_AFTER_FAILURES and not target.probing:
         return []
-    if not may_eject(routing, target):
+    if not can_eject(routing, target):
         return []
     target.ejections += 1
     duration_ms = min(EJECT_MAX_MS, EJECT_BASE_MS << min(target.ejections - 1, 8))
@@ -67,7 +67,7 @@
     ]
 
 
-def may_eject(routing: RoutingState, target: TargetView) -> bool:
+def can_eject(routing: RoutingState, target: TargetView) -> bool:
     """Return whether one more target of the pool may be ejected.
 
     Prevents ejections from emptying the pool when a shared dependency fails or a caller's
--- a/heatherkeel/requests/routing.py
+++ b/heatherkeel/requests/routing.py
@@ -8,7 +8,7 @@
 from heatherkeel.membership.sponsor import may_route
 
 from .const import FULL_ZONE_RECHECK_MS, SHARE_GRACE_MS
-from .health import allowed
+from .health import allowed_requests
 from .limits import share
 from .local import ActiveRequest, FullZone, PoolView, RoutingState, TargetView
 from .reasons import RefusalReason
@@ -89,7 +89,7 @@
 
 def has_free_slot(node: NodeState, name: str, target: TargetView, now_ms: int) -> bool:
     """Return whether a target has a free slot in this entry instance's share."""
-    return target.in_progress < allowed(target, share(node, name, target), now_ms)
+    return target.in_progress < allowed_requests(target, share(node, name, target), now_ms)
 
 
 def _pick_in_zone(
