--- a/heatherkeel/requests/arrival.py
+++ b/heatherkeel/requests/arrival.py
@@ -10,7 +10,7 @@
 from .effects import Queued, Refuse
 from .events import CallerGone, InputRefused, RequestArrived
 from .local import ActiveRequest, RequestPhase
-from .queues import check_room, enqueue, forget, retry_after_ms
+from .queues import check_queue_capacity, enqueue, remove_waiting, retry_after_ms
 from .reasons import Outcome, RefusalReason
 from .retries import earn
 from .routing import lease_refusal, pick
@@ -89,7 +89,7 @@
 
 def _wait(node: NodeState, request_id: str, request: ActiveRequest, now_ms: int) -> Effect:
     routing = node.local.routing
-    reason = check_room(routing, request, now_ms)
+    reason = check_queue_capacity(routing, request, now_ms)
     if reason is not None:
         del routing.requests[request_id]
         return not_run(request_id, reason, retry_after_ms(routing.pools[request.pool]))
@@ -107,6 +107,6 @@
         request.abandoned = True
     if request.phase is not RequestPhase.QUEUED:
         return []
-    forget(node.local.routing, request)
+    remove_waiting(node.local.routing, request)
     del node.local.routing.requests[event.request_id]
     return [not_run(event.request_id, RefusalReason.CALLER_GONE, 0)]
--- a/heatherkeel/requests/attempts.py
+++ b/heatherkeel/requests/attempts.py
@@ -16,7 +16,7 @@
 from .health import record_failure, record_success
 from .local import ActiveRequest, RequestPhase
 from .models import ClaimStatus
-from .queues import note_end, retry_after_ms
+from .queues import retry_after_ms, update_drain_interval
 from .reasons import Outcome, RefusalReason
 from .retries import NOT_RUN_RESULTS, RETRY_REASONS, decide_retry
 from .sending import begin_again, free_slot
@@ -40,7 +40,7 @@
         return []
     if request.target != event.target:
         return []
-    note_end(node.local.routing.pools[request.pool], event.now_ms)
+    update_drain_interval(node.local.routing.pools[request.pool], event.now_ms)
     effects = _note_health(node, request, event)
     free_slot(node, request)
     if event.result is AttemptResult.WHOLE_ANSWER:
--- a/heatherkeel/requests/queues.py
+++ b/heatherkeel/requests/queues.py
@@ -14,7 +14,9 @@
 from .reasons import RefusalReason
 
 
-def check_room(routing: RoutingState, request: ActiveRequest, now_ms: int) -> RefusalReason | None:
+def check_queue_capacity(
+    routing: RoutingState, request: ActiveRequest, now_ms: int
+) -> RefusalReason | None:
     """Return why a request can't be queued, or `None` if it can.
 
     Under overload, requests that would miss their deadline must not take slots from those that
@@ -24,13 +26,13 @@
     if routing.waiting.get(request.service, 0) >= service.limits.max_queued:
         return RefusalReason.QUEUE_FULL
     pool = routing.pools[request.pool]
-    wait_ms = (_ahead(pool, request.service_class) + 1) * drain_interval_ms(pool)
+    wait_ms = (_count_ahead(pool, request.service_class) + 1) * drain_interval_ms(pool)
     if now_ms + wait_ms + pool.latency_ms > request.deadline_at_ms:
         return RefusalReason.QUEUE_TOO_SLOW
     return None
 
 
-def _ahead(pool: PoolView, service_class: ServiceClass) -> int:
+def _count_ahead(pool: PoolView, service_class: ServiceClass) -> int:
     """Return the number of waiting requests of this class and more urgent ones."""
     rank = CLASS_ORDER.index(service_class)
     return sum(
@@ -49,7 +51,7 @@
     return min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, wait_ms))
 
 
-def note_end(pool: PoolView, now_ms: int) -> None:
+def update_drain_interval(pool: PoolView, now_ms: int) -> None:
     """Update the average drain interval after a slot was freed."""
     waiting = pool.waiting > 0
     if waiting and pool.last_end_ms >= 0:
@@ -60,7 +62,7 @@
 
 
 def enqueue(routing: RoutingState, request_id: str, request: ActiveRequest) -> None:
-    """Add a request to its queue, after a successful `check_room`."""
+    """Add a request to its queue, after a successful `check_queue_capacity`."""
     request.phase = RequestPhase.QUEUED
     pool = routing.pools[request.pool]
     queue = pool.queues.setdefault(request.service_class, ClassQueue())
@@ -68,16 +70,16 @@
         queue.owners[request.owner] = deque()
         queue.rotation.append(request.owner)
     queue.owners[request.owner].append(request_id)
-    _count(routing, request, 1)
+    _change_counts(routing, request, 1)
     heapq.heappush(routing.deadlines, (request.deadline_at_ms, request_id))
 
 
-def forget(routing: RoutingState, request: ActiveRequest) -> None:
+def remove_waiting(routing: RoutingState, request: ActiveRequest) -> None:
     """Stop counting a request that no longer waits; `peek` skips its id later."""
-    _count(routing, request, -1)
+    _change_counts(routing, request, -1)
 
 
-def _count(routing: RoutingState, request: ActiveRequest, change: int) -> None:
+def _change_counts(routing: RoutingState, request: ActiveRequest, change: int) -> None:
     pool = routing.pools[request.pool]
     pool.waiting += change
     pool.queues[request.service_class].waiting += change
@@ -103,7 +105,7 @@
     while True:
         owner = queue.rotation[0]
         ids = queue.owners[owner]
-        while ids and not _waits(routing, ids[0]):
+        while ids and not _is_waiting(routing, ids[0]):
             ids.popleft()
         if ids:
             return ids[0]
@@ -111,7 +113,7 @@
         del queue.owners[owner]
 
 
-def take(routing: RoutingState, pool: PoolView, service_class: ServiceClass) -> str:
+def dequeue(routing: RoutingState, pool: PoolView, service_class: ServiceClass) -> str:
     """Remove the next request of a class and move its owner to the end of the rotation."""
     request_id = peek(routing, pool, service_class)
     queue = pool.queues[service_class]
@@ -121,18 +123,18 @@
     for name, other in pool.queues.items():
         if name is not service_class and other.waiting:
             other.passed_over += 1
-    _count(routing, routing.requests[request_id], -1)
+    _change_counts(routing, routing.requests[request_id], -1)
     return request_id
 
 
-def overdue(routing: RoutingState, now_ms: int) -> Iterator[str]:
+def pop_overdue(routing: RoutingState, now_ms: int) -> Iterator[str]:
     """Yield the waiting requests whose deadline has passed."""
     while routing.deadlines and routing.deadlines[0][0] <= now_ms:
         _, request_id = heapq.heappop(routing.deadlines)
-        if _waits(routing, request_id):
+        if _is_waiting(routing, request_id):
             yield request_id
 
 
-def _waits(routing: RoutingState, request_id: str) -> bool:
+def _is_waiting(routing: RoutingState, request_id: str) -> bool:
     request = routing.requests.get(request_id)
     return request is not None and request.phase is RequestPhase.QUEUED
--- a/heatherkeel/requests/waiting.py
+++ b/heatherkeel/requests/waiting.py
@@ -9,7 +9,7 @@
 from .events import QueueTick
 from .health import end_ejections
 from .local import ActiveRequest
-from .queues import forget, next_class, overdue, peek, retry_after_ms, take
+from .queues import dequeue, next_class, peek, pop_overdue, remove_waiting, retry_after_ms
 from .reasons import RefusalReason
 from .routing import can_take_request, pick
 from .sending import begin, not_run, why_too_late
@@ -20,7 +20,7 @@
     """End overdue requests and ejections, and serve waiting requests."""
     routing = node.local.routing
     effects = end_ejections(routing, event.now_ms)
-    for request_id in overdue(routing, event.now_ms):
+    for request_id in pop_overdue(routing, event.now_ms):
         effects.append(_end_waiting(node, request_id, RefusalReason.DEADLINE))
     for pool, view in routing.pools.items():
         if view.waiting:
@@ -31,7 +31,7 @@
 def _end_waiting(node: NodeState, request_id: str, reason: RefusalReason) -> Refuse:
     routing = node.local.routing
     request = routing.requests.pop(request_id)
-    forget(routing, request)
+    remove_waiting(routing, request)
     return not_run(request_id, reason, retry_after_ms(routing.pools[request.pool]))
 
 
@@ -53,7 +53,7 @@
         target = _slot_for(node, request, freed, now_ms)
         if target is None:
             break
-        take(routing, view, service_class)
+        dequeue(routing, view, service_class)
         effects.append(begin(node, request_id, request, target, now_ms))
         if freed is not None:
             break
