--- a/heatherkeel/requests/arrival.py
+++ b/heatherkeel/requests/arrival.py
@@ -12,7 +12,7 @@
 from .local import ActiveRequest, RequestPhase
 from .queues import check_queue_capacity, enqueue, remove_waiting, retry_after_ms
 from .reasons import Outcome, RefusalReason
-from .retries import earn
+from .retries import earn_retry_budget
 from .routing import lease_refusal, pick
 from .sending import begin, not_run
 from .targets import find_service
@@ -28,7 +28,7 @@
     answer = _answer_at_once(node, event.request_id, request, event.now_ms)
     if answer is not None:
         return [answer]
-    earn(node, service)
+    earn_retry_budget(node, service)
     node.local.routing.requests[event.request_id] = request
     # A new request must not overtake those that already wait.
     waiting = node.local.routing.pools[request.pool].waiting
--- a/heatherkeel/requests/retries.py
+++ b/heatherkeel/requests/retries.py
@@ -34,14 +34,14 @@
 """Attempt results that prove that the target did not start the request."""
 
 
-def budget_of(node: NodeState, service: str) -> RetryBudget:
+def get_retry_budget(node: NodeState, service: str) -> RetryBudget:
     """Return the retry budget of a service."""
     return node.local.routing.budgets.setdefault(service, RetryBudget())
 
 
-def earn(node: NodeState, service: str) -> None:
+def earn_retry_budget(node: NodeState, service: str) -> None:
     """Add the retry budget earned by a first attempt."""
-    budget = budget_of(node, service)
+    budget = get_retry_budget(node, service)
     budget.remaining = min(RETRY_BUDGET_MAX, budget.remaining + RETRY_EARNED_PER_FIRST_ATTEMPT)
 
 
@@ -66,7 +66,7 @@
         return Err(NoRetryReason.ATTEMPTS_USED)
     if now_ms >= request.deadline_at_ms:
         return Err(NoRetryReason.DEADLINE)
-    budget = budget_of(node, request.service)
+    budget = get_retry_budget(node, request.service)
     if budget.remaining < RETRY_COST:
         return Err(NoRetryReason.BUDGET_EMPTY)
     target = pick(node, request, now_ms)
@@ -83,8 +83,8 @@
     remaining time or `ATTEMPT_LATENCY_FACTOR` times the average latency, whichever is longer.
     """
     left_ms = max(1, request.deadline_at_ms - now_ms)
-    last = not request.idempotent or len(request.tried) + 1 >= MAX_ATTEMPTS
-    if last or budget_of(node, request.service).remaining < RETRY_COST:
+    is_last = not request.idempotent or len(request.tried) + 1 >= MAX_ATTEMPTS
+    if is_last or get_retry_budget(node, request.service).remaining < RETRY_COST:
         return left_ms
-    usual_ms = node.local.routing.pools[request.pool].latency_ms
-    return min(left_ms, max(left_ms // 2, int(usual_ms * ATTEMPT_LATENCY_FACTOR)))
+    average_ms = node.local.routing.pools[request.pool].latency_ms
+    return min(left_ms, max(left_ms // 2, int(average_ms * ATTEMPT_LATENCY_FACTOR)))
