--- a/heatherkeel/requests/arrival.py
+++ b/heatherkeel/requests/arrival.py
@@ -14,7 +14,7 @@
 from .reasons import Outcome, RefusalReason
 from .retries import earn_retry_budget
 from .routing import lease_refusal, pick
-from .sending import begin, not_run
+from .sending import refuse_not_run, start_request
 from .targets import find_service
 
 
@@ -23,7 +23,7 @@
     """Send a request at once, queue it for a slot, or refuse it."""
     service = find_service(node.local.routing, event.path)
     if service is None:
-        return [not_run(event.request_id, RefusalReason.NO_SERVICE, 0)]
+        return [refuse_not_run(event.request_id, RefusalReason.NO_SERVICE, 0)]
     request = _make_request(node, event, service)
     answer = _answer_at_once(node, event.request_id, request, event.now_ms)
     if answer is not None:
@@ -34,7 +34,7 @@
     waiting = node.local.routing.pools[request.pool].waiting
     target = None if waiting else pick(node, request, event.now_ms)
     if target is not None:
-        return [begin(node, event.request_id, request, target, event.now_ms)]
+        return [start_request(node, event.request_id, request, target, event.now_ms)]
     return [_wait(node, event.request_id, request, event.now_ms)]
 
 
@@ -80,10 +80,10 @@
             return repeat
     refusal = lease_refusal(node, request, now_ms)
     if refusal is not None:
-        return not_run(request_id, refusal)
+        return refuse_not_run(request_id, refusal)
     pool = node.local.routing.pools.get(request.pool)
     if pool is None or not any(pool.candidates.values()):
-        return not_run(request_id, RefusalReason.NO_TARGET)
+        return refuse_not_run(request_id, RefusalReason.NO_TARGET)
     return None
 
 
@@ -92,7 +92,7 @@
     reason = check_queue_capacity(routing, request, now_ms)
     if reason is not None:
         del routing.requests[request_id]
-        return not_run(request_id, reason, retry_after_ms(routing.pools[request.pool]))
+        return refuse_not_run(request_id, reason, retry_after_ms(routing.pools[request.pool]))
     enqueue(routing, request_id, request)
     return Queued(request_id=request_id)
 
@@ -109,4 +109,4 @@
         return []
     remove_waiting(node.local.routing, request)
     del node.local.routing.requests[event.request_id]
-    return [not_run(event.request_id, RefusalReason.CALLER_GONE, 0)]
+    return [refuse_not_run(event.request_id, RefusalReason.CALLER_GONE, 0)]
--- a/heatherkeel/requests/attempts.py
+++ b/heatherkeel/requests/attempts.py
@@ -19,7 +19,7 @@
 from .queues import retry_after_ms, update_drain_interval
 from .reasons import Outcome, RefusalReason
 from .retries import NOT_RUN_RESULTS, RETRY_REASONS, decide_retry
-from .sending import begin_again, free_slot
+from .sending import free_slot, start_retry
 from .waiting import serve_waiting
 
 REFUSAL_OF_RESULT: Final = {
@@ -76,7 +76,7 @@
     if isinstance(decision, Ok):
         retried = Retried(request_id=event.request_id, reason=RETRY_REASONS[event.result])
         target = decision.ok_value
-        return [retried, begin_again(node, event.request_id, request, target, event.now_ms)]
+        return [retried, start_retry(node, event.request_id, request, target, event.now_ms)]
     del node.local.routing.requests[event.request_id]
     not_retried = NotRetried(request_id=event.request_id, reason=decision.err_value)
     status = ClaimStatus.UNKNOWN if request.may_have_run else ClaimStatus.NOT_RUN
--- a/heatherkeel/requests/claims.py
+++ b/heatherkeel/requests/claims.py
@@ -22,7 +22,7 @@
 from .reasons import Outcome, RefusalReason
 from .reducer import can_claimant_answer, find_claim
 from .routing import is_candidate, pick
-from .sending import free_slot, not_run, send, take_slot, why_too_late
+from .sending import check_still_sendable, free_slot, refuse_not_run, send, take_slot
 from .waiting import serve_waiting
 
 REFUSAL_BY_REJECTION: Final = {
@@ -40,7 +40,7 @@
     if existing is None:
         return None
     if existing.fingerprint != request.fingerprint:
-        return not_run(request_id, RefusalReason.KEY_CONFLICT, 0)
+        return refuse_not_run(request_id, RefusalReason.KEY_CONFLICT, 0)
     if existing.status is ClaimStatus.NOT_RUN:
         return None
     if existing.status is ClaimStatus.RAN and existing.answer is not None:
@@ -107,7 +107,7 @@
         return [send(node, event.request_id, request, event.now_ms)]
     effects = outcome_effects(request, ClaimStatus.NOT_RUN)
     return effects + _finish(
-        node, event.request_id, not_run(event.request_id, reason), event.now_ms
+        node, event.request_id, refuse_not_run(event.request_id, reason), event.now_ms
     )
 
 
@@ -119,7 +119,7 @@
         if repeat is not None:
             return repeat
     reason = REFUSAL_BY_REJECTION.get(refusal, RefusalReason.CLAIM_NOT_WRITTEN)
-    return not_run(request_id, reason)
+    return refuse_not_run(request_id, reason)
 
 
 def _check_before_send(
@@ -128,7 +128,7 @@
     """Return why a claimed request can no longer be sent, or `None`; may change its target."""
     if request.abandoned:
         return RefusalReason.CALLER_GONE
-    too_late = why_too_late(node, request, now_ms)
+    too_late = check_still_sendable(node, request, now_ms)
     if too_late is not None:
         return too_late
     routing = node.local.routing
@@ -149,7 +149,7 @@
     if request is None or request.phase is not RequestPhase.CLAIMING:
         return []
     node.local.routing.claims.pop(request.claim, None)
-    answer = not_run(event.request_id, RefusalReason.CLAIM_NOT_WRITTEN)
+    answer = refuse_not_run(event.request_id, RefusalReason.CLAIM_NOT_WRITTEN)
     return _finish(node, event.request_id, answer, event.now_ms)
 
 
--- a/heatherkeel/requests/sending.py
+++ b/heatherkeel/requests/sending.py
@@ -14,7 +14,7 @@
 from .routing import lease_refusal
 
 
-def begin(
+def start_request(
     node: NodeState, request_id: str, request: ActiveRequest, target: str, now_ms: int
 ) -> Effect:
     """Take a slot, and send the request or first write its claim if it has a key.
@@ -42,7 +42,7 @@
     )
 
 
-def begin_again(
+def start_retry(
     node: NodeState, request_id: str, request: ActiveRequest, target: str, now_ms: int
 ) -> Send:
     """Take a slot and send the next attempt; an accepted claim stays valid."""
@@ -57,12 +57,12 @@
     request.tried = (*request.tried, request.target)
     # A pooled connection may be dead without notice, so non-idempotent requests and retries use a
     # new one.
-    fresh = not request.idempotent or len(request.tried) > 1
+    needs_fresh_connection = not request.idempotent or len(request.tried) > 1
     return Send(
         request_id=request_id,
         target=request.target,
         address=node.local.routing.targets[request.target].address,
-        fresh_connection=fresh,
+        fresh_connection=needs_fresh_connection,
         timeout_ms=timeout_ms,
         attempt=len(request.tried),
     )
@@ -89,14 +89,16 @@
         del routing.targets[request.target]
 
 
-def why_too_late(node: NodeState, request: ActiveRequest, now_ms: int) -> RefusalReason | None:
+def check_still_sendable(
+    node: NodeState, request: ActiveRequest, now_ms: int
+) -> RefusalReason | None:
     """Return why a request may no longer be sent, or `None` if it may."""
     if request.deadline_at_ms <= now_ms:
         return RefusalReason.DEADLINE
     return lease_refusal(node, request, now_ms)
 
 
-def not_run(
+def refuse_not_run(
     request_id: str, reason: RefusalReason, wait_ms: int = UNAVAILABLE_RETRY_AFTER_MS
 ) -> Refuse:
     """Return the final answer to a request that was never sent."""
--- a/heatherkeel/requests/waiting.py
+++ b/heatherkeel/requests/waiting.py
@@ -12,7 +12,7 @@
 from .queues import dequeue, next_class, peek, pop_overdue, remove_waiting, retry_after_ms
 from .reasons import RefusalReason
 from .routing import can_take_request, pick
-from .sending import begin, not_run, why_too_late
+from .sending import check_still_sendable, refuse_not_run, start_request
 
 
 @listens(QueueTick)
@@ -32,7 +32,7 @@
     routing = node.local.routing
     request = routing.requests.pop(request_id)
     remove_waiting(routing, request)
-    return not_run(request_id, reason, retry_after_ms(routing.pools[request.pool]))
+    return refuse_not_run(request_id, reason, retry_after_ms(routing.pools[request.pool]))
 
 
 def serve_waiting(node: NodeState, pool: str, freed: str | None, now_ms: int) -> list[Effect]:
@@ -46,7 +46,7 @@
     while (service_class := next_class(view)) is not None:
         request_id = peek(routing, view, service_class)
         request = routing.requests[request_id]
-        refusal = why_too_late(node, request, now_ms)
+        refusal = check_still_sendable(node, request, now_ms)
         if refusal is not None:
             effects.append(_end_waiting(node, request_id, refusal))
             continue
@@ -54,7 +54,7 @@
         if target is None:
             break
         dequeue(routing, view, service_class)
-        effects.append(begin(node, request_id, request, target, now_ms))
+        effects.append(start_request(node, request_id, request, target, now_ms))
         if freed is not None:
             break
     return effects
