--- a/heatherkeel/requests/arrival.py
+++ b/heatherkeel/requests/arrival.py
@@ -25,7 +25,7 @@
     if service is None:
         return [refuse_not_run(event.request_id, RefusalReason.NO_SERVICE, 0)]
     request = _make_request(node, event, service)
-    answer = _answer_at_once(node, event.request_id, request, event.now_ms)
+    answer = _find_immediate_answer(node, event.request_id, request, event.now_ms)
     if answer is not None:
         return [answer]
     earn_retry_budget(node, service)
@@ -35,7 +35,7 @@
     target = None if waiting else pick(node, request, event.now_ms)
     if target is not None:
         return [start_request(node, event.request_id, request, target, event.now_ms)]
-    return [_wait(node, event.request_id, request, event.now_ms)]
+    return [_queue_or_refuse(node, event.request_id, request, event.now_ms)]
 
 
 @listens(InputRefused)
@@ -54,10 +54,10 @@
     entry = node.local.routing.services[service]
     # An idempotent request needs no claim, so its key is ignored.
     key = "" if event.idempotent else event.key
-    longest_ms = entry.limits.deadline_ms
+    max_ms = entry.limits.deadline_ms
     if key:
-        longest_ms = min(longest_ms, MAX_KEYED_DEADLINE_MS)
-    given_ms = min(event.deadline_ms, longest_ms) if event.deadline_ms > 0 else longest_ms
+        max_ms = min(max_ms, MAX_KEYED_DEADLINE_MS)
+    allowed_ms = min(event.deadline_ms, max_ms) if event.deadline_ms > 0 else max_ms
     return ActiveRequest(
         service=service,
         pool=entry.pool,
@@ -66,11 +66,11 @@
         idempotent=event.idempotent,
         key=key,
         fingerprint=event.fingerprint,
-        deadline_at_ms=event.now_ms + given_ms,
+        deadline_at_ms=event.now_ms + allowed_ms,
     )
 
 
-def _answer_at_once(
+def _find_immediate_answer(
     node: NodeState, request_id: str, request: ActiveRequest, now_ms: int
 ) -> Effect | None:
     """Return the answer to a request that can't run or whose key was used before, or `None`."""
@@ -87,7 +87,9 @@
     return None
 
 
-def _wait(node: NodeState, request_id: str, request: ActiveRequest, now_ms: int) -> Effect:
+def _queue_or_refuse(
+    node: NodeState, request_id: str, request: ActiveRequest, now_ms: int
+) -> Effect:
     routing = node.local.routing
     reason = check_queue_capacity(routing, request, now_ms)
     if reason is not None:
--- a/heatherkeel/requests/attempts.py
+++ b/heatherkeel/requests/attempts.py
@@ -22,7 +22,7 @@
 from .sending import free_slot, start_retry
 from .waiting import serve_waiting
 
-REFUSAL_OF_RESULT: Final = {
+REFUSAL_BY_RESULT: Final = {
     AttemptResult.REFUSED_BEFORE_START: RefusalReason.TARGET_REFUSED,
     AttemptResult.CONNECT_FAILED: RefusalReason.CONNECT_FAILED,
     AttemptResult.BROKEN_AFTER_SEND: RefusalReason.BROKEN_AFTER_SEND,
@@ -41,16 +41,16 @@
     if request.target != event.target:
         return []
     update_drain_interval(node.local.routing.pools[request.pool], event.now_ms)
-    effects = _note_health(node, request, event)
+    effects = _record_result(node, request, event)
     free_slot(node, request)
     if event.result is AttemptResult.WHOLE_ANSWER:
         effects += _answer(node, request, event)
     else:
-        effects += _fail(node, request, event)
+        effects += _retry_or_refuse(node, request, event)
     return effects + serve_waiting(node, request.pool, event.target, event.now_ms)
 
 
-def _note_health(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> list[Effect]:
+def _record_result(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> list[Effect]:
     if event.result is AttemptResult.CALLER_GONE:
         return []
     if event.result is not AttemptResult.WHOLE_ANSWER or event.server_error:
@@ -69,7 +69,7 @@
     return [PassOn(request_id=event.request_id, target=event.target), *record]
 
 
-def _fail(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> list[Effect]:
+def _retry_or_refuse(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> list[Effect]:
     if event.result not in NOT_RUN_RESULTS:
         request.may_have_run = True
     decision = decide_retry(node, request, event.result, event.now_ms)
@@ -80,12 +80,16 @@
     del node.local.routing.requests[event.request_id]
     not_retried = NotRetried(request_id=event.request_id, reason=decision.err_value)
     status = ClaimStatus.UNKNOWN if request.may_have_run else ClaimStatus.NOT_RUN
-    return [not_retried, _give_up(node, request, event), *outcome_effects(request, status)]
+    return [
+        not_retried,
+        _make_final_answer(node, request, event),
+        *outcome_effects(request, status),
+    ]
 
 
-def _give_up(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> Effect:
+def _make_final_answer(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> Effect:
     """Return the final answer; its outcome takes all attempts into account."""
-    reason = REFUSAL_OF_RESULT[event.result]
+    reason = REFUSAL_BY_RESULT[event.result]
     if event.result is AttemptResult.BROKEN_IN_ANSWER:
         return AbortAnswer(request_id=event.request_id, reason=reason)
     outcome = Outcome.UNKNOWN if request.may_have_run else Outcome.NOT_RUN
--- a/heatherkeel/requests/waiting.py
+++ b/heatherkeel/requests/waiting.py
@@ -50,7 +50,7 @@
         if refusal is not None:
             effects.append(_end_waiting(node, request_id, refusal))
             continue
-        target = _slot_for(node, request, freed, now_ms)
+        target = _pick_target(node, request, freed, now_ms)
         if target is None:
             break
         dequeue(routing, view, service_class)
@@ -60,7 +60,7 @@
     return effects
 
 
-def _slot_for(
+def _pick_target(
     node: NodeState, request: ActiveRequest, freed: str | None, now_ms: int
 ) -> str | None:
     """Return the target of the freed slot if it fits, which avoids a search of all targets."""
