--- a/tests/requests/fleet.py
+++ b/tests/requests/fleet.py
@@ -1,4 +1,4 @@
-"""A small log and the nodes that fold it, for the tests of this folder."""
+"""Test helpers: an in-memory log and the nodes that fold it."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 def incarnation_of(instance: str) -> str:
-    """Return the first incarnation of an entry instance; no two processes share one."""
+    """Return the first incarnation of an entry instance; it is unique to one process."""
     return f"{instance}-1"
 
 
 @dataclass(kw_only=True)
 class Log:
-    """Records in order; `now_ms` is the log's time and every node's monotonic clock."""
+    """An in-memory log; `now_ms` is both its time and the monotonic clock of every node."""
 
     records: list[LogRecord] = field(default_factory=list)
     now_ms: int = 1_000
@@ -104,7 +104,7 @@
 
 
 def make_node(log: Log, instance: str = "e1", zone: str = "east") -> NodeState:
-    """Return a node that has folded the whole log and holds a lease."""
+    """Return a node that has folded the whole log and holds a routing lease."""
     node = NodeState(
         local=LocalState(instance=instance, zone=zone, incarnation=incarnation_of(instance))
     )
@@ -119,7 +119,7 @@
 
 
 def alone(targets: int = 6, **service: int) -> tuple[Log, NodeState]:
-    """Return a log with one service and one entry instance, which has all slots."""
+    """Return a log with one service and a node for its only entry instance."""
     log = Log()
     log.put_service(**service)  # type: ignore[arg-type]
     log.admit(targets)
@@ -165,6 +165,6 @@
 
 
 def only(effects: list[Effect], kind: type[EffectT]) -> EffectT:
-    """Return the one effect of a kind."""
+    """Return the only effect of a type; fails if there is none or more than one."""
     [found] = [effect for effect in effects if isinstance(effect, kind)]
     return found
--- a/tests/requests/test_claim_steps.py
+++ b/tests/requests/test_claim_steps.py
@@ -1,4 +1,4 @@
-"""Each step between a claim and its outcome, with what may come in between."""
+"""Tests for the steps between a claim and its outcome, including interruptions."""
 
 from __future__ import annotations
 
@@ -54,12 +54,12 @@
 
 
 def claimed(node: NodeState, log: Log) -> list[Effect]:
-    """Ask, and read the claim back."""
+    """Send a keyed request and read its claim back."""
     return write(node, log, only(ask(node, log, "r"), WriteClaim))
 
 
 def judged(node: NodeState, log: Log, body: RecordBody) -> Rejected:
-    """Append a record that has to be refused."""
+    """Append a record that must be rejected, and return the rejection."""
     log.append(body, author="e1")
     outcome = only(catch_up(node, log), Settled).outcome
     assert isinstance(outcome, Rejected)
@@ -85,8 +85,8 @@
 
 
 def test_a_claim_read_back_after_the_lease_lapsed_is_withdrawn() -> None:
-    # The process is paused between its claim and the read-back, and its lease lapses. A drain may
-    # have gone on without it: the request is not sent, the caller hears so, and the key is free.
+    # The lease expires while the process is paused before the claim is read back. A drain may have
+    # continued, so the request must not be sent, and its key must become free.
     log, node = alone()
     effects = claimed(node, log)
     log.now_ms += LEASE_MS
@@ -115,8 +115,8 @@
 
 
 def test_a_claim_that_comes_into_the_log_too_late_is_withdrawn() -> None:
-    # The append gets no answer, the caller is told not run, and then the claim shows up in the
-    # log. Left alone, the caller's repeat would be told "in progress" about nothing.
+    # A claim appears in the log after its caller got *not run*. Unless it is withdrawn, a repeated
+    # request would be refused as in progress although nothing runs.
     log, node = alone()
     effect = only(ask(node, log, "r"), WriteClaim)
     failed = reduce(node, ClaimWriteFailed(now_ms=log.now_ms, request_id="r"))
@@ -144,8 +144,7 @@
 
 
 def test_an_outcome_is_taken_once_and_from_the_claim_that_holds_the_key() -> None:
-    # A claim of an earlier attempt wakes up late. What it has to say is about a request that did
-    # not run, and must not stand for the one that is running.
+    # A late outcome for an earlier claim must not be recorded for the current claim of the key.
     log, node = alone()
     claimed(node, log)
     other = ClaimOutcome(service="stock", key="k", claim="old", status=ClaimStatus.NOT_RUN)
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -1,4 +1,4 @@
-"""A key runs at most once, and every caller is told the truth about it."""
+"""Tests that a key runs at most once and that each caller gets a correct outcome."""
 
 from __future__ import annotations
 
@@ -53,15 +53,15 @@
 
 @dataclass(kw_only=True, eq=False)
 class Process:
-    """One entry process: its state, and effects that it has not carried out yet."""
+    """One entry process: its state and its pending effects."""
 
     node: NodeState
     todo: list[Effect] = field(default_factory=list)
     unanswered: list[WriteClaim] = field(default_factory=list)
-    """Claims whose append has got no answer so far."""
+    """Claims whose append has not been answered yet."""
     sent: dict[str, Send] = field(default_factory=dict)
     lease_ends: list[tuple[int, int]] = field(default_factory=list)
-    """Lease ends by the offset at which the renewal that brings them is read back."""
+    """Pairs of the offset at which a renewal is read back and the lease end it grants."""
 
 
 class Claims(RuleBasedStateMachine):
@@ -296,8 +296,8 @@
 
 
 def test_the_machine_reaches_every_kind_of_answer() -> None:
-    # A machine that never gets past "not run" would prove nothing. One plain session reaches a
-    # run, a replay, "in progress" and "unknown".
+    # Guards against a state machine that only ever reaches *not run*: one session without faults
+    # reaches a run, a replay, *in progress* and *unknown*.
     machine = Claims()
     machine.everyone_works()
     machine.ask(0, "a")
--- a/tests/requests/test_flow.py
+++ b/tests/requests/test_flow.py
@@ -1,4 +1,4 @@
-"""A request gets one truthful final answer, whatever its targets do."""
+"""Tests that a request gets exactly one correct final answer, whatever its targets do."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 
 
 def test_an_idempotent_request_is_retried_elsewhere_on_a_new_connection() -> None:
-    # The target drops the connection after the request was sent. The caller sees nothing of it:
-    # a second target answers. The first connection is not used again.
+    # The target drops the connection after the request was sent. A second target must answer,
+    # over a fresh connection.
     log, node = alone()
     first = only(ask(node, log, "r"), Send)
     effects = end(node, log, "r", AttemptResult.BROKEN_AFTER_SEND)
@@ -43,8 +43,8 @@
 
 
 def test_a_non_idempotent_request_that_broke_is_unknown_at_once() -> None:
-    # A certificate request was sent and the connection broke. It may have run: the caller is
-    # told so at once, and nobody runs it again.
+    # The connection broke after a certificate request was sent, so it may have run. The caller must
+    # get *unknown* at once, without a retry.
     log, node = alone()
     assert only(ask(node, log, "r", idempotent=False), Send).fresh_connection
     effects = end(node, log, "r", AttemptResult.BROKEN_AFTER_SEND)
@@ -63,8 +63,8 @@
 
 
 def test_not_run_is_never_said_after_an_attempt_that_may_have_run() -> None:
-    # The first attempt breaks after it was sent, the others don't connect. The last failure
-    # alone would read as not run, but the first target may have run it.
+    # The last attempt failed to connect, but the first one broke after it was sent and may have
+    # run. The outcome must not be *not run*.
     log, node = alone()
     ask(node, log, "r")
     end(node, log, "r", AttemptResult.BROKEN_AFTER_SEND)
@@ -83,8 +83,7 @@
 
 
 def test_a_late_report_of_another_attempt_changes_nothing() -> None:
-    # The first target's failure is reported twice. The second report must not end the attempt
-    # that is now running elsewhere.
+    # A second report for the first target must not end the attempt that now runs on another one.
     log, node = alone()
     first = only(ask(node, log, "r"), Send)
     end(node, log, "r", AttemptResult.TIMED_OUT)
@@ -100,8 +99,8 @@
 
 
 def test_retries_stay_within_the_budget_when_everything_fails() -> None:
-    # A whole availability zone goes: every attempt fails. Without a budget each request would be
-    # sent three times, and what is left of the fleet would be overrun.
+    # Without a retry budget, the loss of an availability zone would triple the load on the
+    # remaining targets.
     log, node = alone(targets=12)
     first_tries = retries = 0
     for number in range(400):
@@ -117,8 +116,8 @@
 
 
 def test_ejection_leaves_what_the_budget_needs() -> None:
-    # Requests fail wherever they go, because what is behind all targets is broken. Ejecting them
-    # all would turn an error into an outage.
+    # Requests fail on every target because a shared dependency is broken. Ejecting all targets
+    # would turn errors into an outage.
     log, node = alone(targets=6, min_serving=4)
     ejected = set()
     for number in range(300):
@@ -151,8 +150,8 @@
 
 
 def test_without_a_lease_only_idempotent_requests_go_and_only_nearby() -> None:
-    # The platform is cut off and the lease has lapsed. Stock checks go on with the targets next
-    # door; a ledger job is refused at once as not run, with when to come back.
+    # The lease has expired. Idempotent requests continue within the local zone; others must be
+    # refused at once as *not run*, with a retry-after time.
     log, node = alone()
     log.now_ms = node.local.lease.valid_until_ms
     refused = only(ask(node, log, "w", idempotent=False), Refuse)
@@ -171,8 +170,8 @@
 
 
 def test_a_leaving_target_gets_nothing_though_the_list_lags() -> None:
-    # The target says that it leaves; the platform's list still shows it as live. The list is
-    # older than what the target said.
+    # The platform's list still shows a target as live that has reported that it is leaving. The
+    # outdated list must not return it to service.
     log, node = alone(targets=1)
     reduce(node, TargetLeaving(now_ms=log.now_ms, target="t0", source=LeavingSource.TARGET))
     reduce(node, TargetLive(now_ms=log.now_ms + 1_000, target="t0"))
@@ -189,8 +188,7 @@
 
 
 def test_nobody_waits_for_a_turn_that_comes_too_late() -> None:
-    # Every answer takes 400 ms, and the caller gives 500 ms. Waiting would only take the slot
-    # from somebody who can still be answered.
+    # A request that can't be served before its deadline would take a slot from one that can.
     log, node = alone(targets=1)
     for number in range(8):
         ask(node, log, f"warm{number}")
--- a/tests/requests/test_limits.py
+++ b/tests/requests/test_limits.py
@@ -1,4 +1,4 @@
-"""Over all entry instances together, a target never has more requests than slots."""
+"""Tests that a target never has more requests than slots across all entry instances."""
 
 from __future__ import annotations
 
@@ -162,8 +162,8 @@
 
 
 def test_shares_grow_back_once_all_have_acknowledged() -> None:
-    # Of two entry instances in one zone, one leaves. The other may use the slots of both, but
-    # not before a third one, elsewhere, has seen it too: it could still count them as its own.
+    # After one of two entry instances in a zone left, the other one must not use its slots before
+    # an entry instance in another zone has acknowledged the change.
     log = Log()
     log.put_service()
     log.admit(1)
@@ -196,8 +196,8 @@
 
 
 def test_a_share_that_shrank_is_acknowledged_when_the_surplus_has_ended() -> None:
-    # One entry instance uses all 8 slots when a second one joins. It may not say that it gave
-    # any up while the 8 requests still run, or the target would soon have 12.
+    # A second entry instance joins while the first one uses all 8 slots. If the first acknowledged
+    # its smaller share before requests end, the target would have 12 requests.
     log = Log()
     log.put_service()
     log.admit(1)
@@ -214,8 +214,8 @@
 
 
 def test_a_lapsed_holder_keeps_its_share_elsewhere_for_the_grace() -> None:
-    # An entry instance of another zone is cut off. What it sent just before its lease ended may
-    # run for the grace; only after that are its slots here used by others.
+    # Requests that a disconnected entry instance sent to another zone before its lease expired may
+    # run until the grace period ends. Its slots must not be reused before that.
     log = Log()
     log.put_service()
     log.admit(1)
@@ -248,8 +248,8 @@
 
 
 def test_a_restored_process_has_no_share_before_all_know_it() -> None:
-    # A new process starts from a snapshot, so it never saw the views before. Somebody may still
-    # be at one of them, and count all slots as its own.
+    # A process restored from a snapshot doesn't know the earlier views. Another entry instance may
+    # still use one of them and its slots.
     log = Log()
     log.put_service()
     log.admit(1)
@@ -267,8 +267,8 @@
 
 
 def test_a_sponsor_parts_its_share_with_its_newcomer() -> None:
-    # The platform is down, and a new process starts with the state of a peer of its zone. It is
-    # in no view, so it gets one of its sponsor's slots; the sponsor goes without it.
+    # An instance that joins from a peer while the platform is down is in no view. It may only use
+    # a slot that its sponsor no longer uses.
     log = Log()
     log.put_service()
     log.admit(1)
@@ -292,8 +292,8 @@
 
 
 def test_a_replaced_process_still_counts_when_its_replacement_has_left() -> None:
-    # A process is replaced under its id while it still runs, and the replacement leaves. The old
-    # one has read neither and uses its share; a newcomer must not take the same slots.
+    # A process that was replaced but still runs may use its share after the replacement left. A
+    # joining instance must not use the same slots.
     log = Log()
     log.put_service()
     log.admit(1)
--- a/tests/requests/test_session.py
+++ b/tests/requests/test_session.py
@@ -1,4 +1,4 @@
-"""A whole session as a golden file, small enough to be read in review."""
+"""Golden-file test of a complete session with a keyed request."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Session:
-    """Two entry instances on one log; every step is noted as a line."""
+    """Two entry instances on one log; records each step as a line."""
 
     def __init__(self) -> None:
         self.log = Log()
@@ -55,7 +55,7 @@
             self.nodes[name].local.lease.valid_until_ms = self.log.now_ms + LEASE_MS
 
     def note(self, name: str, effects: list[Effect]) -> list[Effect]:
-        """Write down what an entry instance has to do or to tell."""
+        """Record the effects of an entry instance that the golden file shows."""
         shown: list[Effect] = [effect for effect in effects if isinstance(effect, SHOWN)]
         for effect in shown:
             fields = msgspec.json.encode(effect, order="sorted").decode()
@@ -82,9 +82,8 @@
 
 
 def test_a_certificate_asked_twice_while_its_claimant_dies(snapshot: SnapshotAssertion) -> None:
-    # A registrar asks for a certificate; e1 claims the key, and dies before the answer. The
-    # registrar's system asks again through e2, which may not run it: it says "in progress" while
-    # e1 may still answer, and "unknown" when it can't. A late outcome of e1 would still be told.
+    # e1 claims a key and crashes. A repeat through e2 must not run: it is *in progress* while e1
+    # may still answer, and *unknown* after that. A late outcome of e1 is still recorded.
     session = Session()
     [claim] = session.ask("e1", "first")
     assert isinstance(claim, WriteClaim) and isinstance(claim.body, KeyClaim)
