--- a/heatherkeel/requests/reducer.py
+++ b/heatherkeel/requests/reducer.py
@@ -59,16 +59,18 @@
     order, and only the accepted one is sent.
     """
     if existing is not None and existing.fingerprint != body.fingerprint:
-        return Rejected(reason=RejectReason.CONFLICT, detail="key used for another request")
+        return Rejected(
+            reason=RejectReason.CONFLICT, detail="key was already used for a different request"
+        )
     if existing is not None and existing.status is not ClaimStatus.NOT_RUN:
         return Rejected(reason=RejectReason.ALREADY_EXISTS, detail=existing.status)
     entry = state.membership.entries.get(body.instance)
     if entry is None or entry.incarnation != body.incarnation:
         return Rejected(reason=RejectReason.NOT_FOUND, detail=body.instance)
     if entry.lease_until_ms < meta.now_ms:
-        return Rejected(reason=RejectReason.WRONG_STATE, detail="routing lease lapsed")
+        return Rejected(reason=RejectReason.WRONG_STATE, detail="routing lease expired")
     if existing is None and len(state.claims.claims) >= MAX_CLAIMS:
-        return Rejected(reason=RejectReason.QUOTA, detail=f"{MAX_CLAIMS} keys are remembered")
+        return Rejected(reason=RejectReason.QUOTA, detail=f"limit of {MAX_CLAIMS} keys reached")
     return None
 
 
@@ -83,7 +85,12 @@
     if existing.status is not ClaimStatus.CLAIMED or body.status is ClaimStatus.CLAIMED:
         return Err(Rejected(reason=RejectReason.WRONG_STATE, detail=existing.status))
     if (body.answer is not None) != (body.status is ClaimStatus.RAN):
-        return Err(Rejected(reason=RejectReason.MALFORMED, detail="answer goes with ran"))
+        return Err(
+            Rejected(
+                reason=RejectReason.MALFORMED,
+                detail="an answer is required for ran and forbidden otherwise",
+            )
+        )
     existing.status = body.status
     existing.changed_ms = meta.now_ms
     existing.not_run_attempts += body.status is ClaimStatus.NOT_RUN
