--- a/tests/requests/fleet.py
+++ b/tests/requests/fleet.py
@@ -118,7 +118,7 @@
     return [effect for record in records for effect in reduce(node, record)]
 
 
-def alone(targets: int = 6, **service: int) -> tuple[Log, NodeState]:
+def make_single_node(targets: int = 6, **service: int) -> tuple[Log, NodeState]:
     """Return a log with one service and a node for its only entry instance."""
     log = Log()
     log.put_service(**service)  # type: ignore[arg-type]
--- a/tests/requests/test_claim_steps.py
+++ b/tests/requests/test_claim_steps.py
@@ -27,7 +27,7 @@
 from heatherkeel.requests.reasons import Outcome, RefusalReason
 from heatherkeel.requests.reducer import find_claim
 
-from .fleet import LEASE_MS, Log, alone, catch_up, incarnation_of, only
+from .fleet import LEASE_MS, Log, catch_up, incarnation_of, make_single_node, only
 
 
 def ask(node: NodeState, log: Log, request_id: str, fingerprint: str = "f") -> list[Effect]:
@@ -58,7 +58,7 @@
     return write(node, log, only(ask(node, log, "r"), WriteClaim))
 
 
-def judged(node: NodeState, log: Log, body: RecordBody) -> Rejected:
+def append_rejected(node: NodeState, log: Log, body: RecordBody) -> Rejected:
     """Append a record that must be rejected, and return the rejection."""
     log.append(body, author="e1")
     outcome = only(catch_up(node, log), Settled).outcome
@@ -78,16 +78,16 @@
 
 
 def test_nothing_is_sent_before_the_claim_was_read_back() -> None:
-    log, node = alone()
+    log, node = make_single_node()
     effects = ask(node, log, "r")
     assert [type(effect) for effect in effects] == [WriteClaim]
     assert only(decide(node, log, write(node, log, only(effects, WriteClaim))), Send)
 
 
-def test_a_claim_read_back_after_the_lease_lapsed_is_withdrawn() -> None:
+def test_a_claim_read_back_after_the_lease_expired_is_withdrawn() -> None:
     # The lease expires while the process is paused before the claim is read back. A drain may have
     # continued, so the request must not be sent, and its key must become free.
-    log, node = alone()
+    log, node = make_single_node()
     effects = claimed(node, log)
     log.now_ms += LEASE_MS
     effects = decide(node, log, effects)
@@ -97,8 +97,8 @@
     assert held is not None and held.status is ClaimStatus.NOT_RUN
 
 
-def test_a_request_whose_caller_hung_up_before_the_send_is_not_sent() -> None:
-    log, node = alone()
+def test_a_request_whose_caller_disconnected_before_the_send_is_not_sent() -> None:
+    log, node = make_single_node()
     effects = claimed(node, log)
     reduce(node, CallerGone(now_ms=log.now_ms, request_id="r"))
     effects = decide(node, log, effects)
@@ -106,18 +106,18 @@
     assert only(effects, WriteOutcome).body.status is ClaimStatus.NOT_RUN
 
 
-def test_a_target_that_began_to_leave_is_changed_for_another() -> None:
-    log, node = alone()
+def test_a_target_that_starts_leaving_is_replaced_before_the_send() -> None:
+    log, node = make_single_node()
     effects = claimed(node, log)
     first = node.local.routing.requests["r"].target
     reduce(node, TargetLeaving(now_ms=log.now_ms, target=first, source=LeavingSource.TARGET))
     assert only(decide(node, log, effects), Send).target != first
 
 
-def test_a_claim_that_comes_into_the_log_too_late_is_withdrawn() -> None:
+def test_a_claim_that_is_appended_too_late_is_withdrawn() -> None:
     # A claim appears in the log after its caller got *not run*. Unless it is withdrawn, a repeated
     # request would be refused as in progress although nothing runs.
-    log, node = alone()
+    log, node = make_single_node()
     effect = only(ask(node, log, "r"), WriteClaim)
     failed = reduce(node, ClaimWriteFailed(now_ms=log.now_ms, request_id="r"))
     assert only(failed, Refuse).outcome is Outcome.NOT_RUN
@@ -128,38 +128,40 @@
 
 
 def test_a_key_used_for_another_body_is_refused() -> None:
-    log, node = alone()
+    log, node = make_single_node()
     claimed(node, log)
     refused = only(ask(node, log, "s", fingerprint="g"), Refuse)
     assert (refused.reason, refused.outcome) == (RefusalReason.KEY_CONFLICT, Outcome.NOT_RUN)
-    reason = judged(node, log, claim_body(fingerprint="g")).reason
+    reason = append_rejected(node, log, claim_body(fingerprint="g")).reason
     assert reason is RejectReason.CONFLICT
 
 
 def test_only_a_live_claimant_may_claim() -> None:
-    log, node = alone()
-    assert judged(node, log, claim_body(incarnation="old")).reason is RejectReason.NOT_FOUND
+    log, node = make_single_node()
+    assert (
+        append_rejected(node, log, claim_body(incarnation="old")).reason is RejectReason.NOT_FOUND
+    )
     log.now_ms += LEASE_MS + 1
-    assert judged(node, log, claim_body()).reason is RejectReason.WRONG_STATE
+    assert append_rejected(node, log, claim_body()).reason is RejectReason.WRONG_STATE
 
 
-def test_an_outcome_is_taken_once_and_from_the_claim_that_holds_the_key() -> None:
+def test_an_outcome_is_accepted_once_and_only_for_the_current_claim() -> None:
     # A late outcome for an earlier claim must not be recorded for the current claim of the key.
-    log, node = alone()
+    log, node = make_single_node()
     claimed(node, log)
     other = ClaimOutcome(service="stock", key="k", claim="old", status=ClaimStatus.NOT_RUN)
-    assert judged(node, log, other).reason is RejectReason.NOT_FOUND
+    assert append_rejected(node, log, other).reason is RejectReason.NOT_FOUND
     held = find_claim(node.fleet, "stock", "k")
     assert held is not None and held.status is ClaimStatus.CLAIMED
     own = ClaimOutcome(service="stock", key="k", claim=held.claim, status=ClaimStatus.UNKNOWN)
     log.append(own, author="e1")
     catch_up(node, log)
     again = ClaimOutcome(service="stock", key="k", claim=held.claim, status=ClaimStatus.NOT_RUN)
-    assert judged(node, log, again).reason is RejectReason.WRONG_STATE
+    assert append_rejected(node, log, again).reason is RejectReason.WRONG_STATE
 
 
-def test_a_recorded_answer_is_given_again_until_the_key_is_forgotten() -> None:
-    log, node = alone()
+def test_a_recorded_answer_is_replayed_until_the_retention_time_ends() -> None:
+    log, node = make_single_node()
     send = only(decide(node, log, claimed(node, log)), Send)
     answer = RecordedAnswer(http_status=201, body="Y2VydA==", body_sha256="d", body_bytes=4)
     ended = AttemptEnded(
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -295,7 +295,7 @@
 TestClaims = Claims.TestCase
 
 
-def test_the_machine_reaches_every_kind_of_answer() -> None:
+def test_the_state_machine_reaches_every_kind_of_answer() -> None:
     # Guards against a state machine that only ever reaches *not run*: one session without faults
     # reaches a run, a replay, *in progress* and *unknown*.
     machine = Claims()
--- a/tests/requests/test_flow.py
+++ b/tests/requests/test_flow.py
@@ -27,13 +27,13 @@
 )
 from heatherkeel.requests.reasons import NoRetryReason, Outcome, RefusalReason
 
-from .fleet import Log, alone, ask, end, make_node, only
+from .fleet import Log, ask, end, make_node, make_single_node, only
 
 
 def test_an_idempotent_request_is_retried_elsewhere_on_a_new_connection() -> None:
     # The target drops the connection after the request was sent. A second target must answer,
     # over a fresh connection.
-    log, node = alone()
+    log, node = make_single_node()
     first = only(ask(node, log, "r"), Send)
     effects = end(node, log, "r", AttemptResult.BROKEN_AFTER_SEND)
     second = only(effects, Send)
@@ -45,7 +45,7 @@
 def test_a_non_idempotent_request_that_broke_is_unknown_at_once() -> None:
     # The connection broke after a certificate request was sent, so it may have run. The caller must
     # get *unknown* at once, without a retry.
-    log, node = alone()
+    log, node = make_single_node()
     assert only(ask(node, log, "r", idempotent=False), Send).fresh_connection
     effects = end(node, log, "r", AttemptResult.BROKEN_AFTER_SEND)
     assert only(effects, Refuse).outcome is Outcome.UNKNOWN
@@ -56,16 +56,16 @@
 @pytest.mark.parametrize(
     "result", [AttemptResult.REFUSED_BEFORE_START, AttemptResult.CONNECT_FAILED]
 )
-def test_what_did_not_start_may_be_sent_to_another_target(result: AttemptResult) -> None:
-    log, node = alone()
+def test_a_request_that_did_not_start_may_be_sent_to_another_target(result: AttemptResult) -> None:
+    log, node = make_single_node()
     ask(node, log, "r", idempotent=False)
     assert only(end(node, log, "r", result), Send).fresh_connection
 
 
-def test_not_run_is_never_said_after_an_attempt_that_may_have_run() -> None:
+def test_not_run_is_never_reported_after_an_attempt_that_may_have_run() -> None:
     # The last attempt failed to connect, but the first one broke after it was sent and may have
     # run. The outcome must not be *not run*.
-    log, node = alone()
+    log, node = make_single_node()
     ask(node, log, "r")
     end(node, log, "r", AttemptResult.BROKEN_AFTER_SEND)
     end(node, log, "r", AttemptResult.CONNECT_FAILED)
@@ -74,8 +74,8 @@
     assert only(effects, NotRetried).reason is NoRetryReason.ATTEMPTS_USED
 
 
-def test_no_retry_after_a_part_of_the_answer_went_out() -> None:
-    log, node = alone()
+def test_no_retry_after_part_of_the_answer_was_sent() -> None:
+    log, node = make_single_node()
     ask(node, log, "r")
     effects = end(node, log, "r", AttemptResult.BROKEN_IN_ANSWER)
     assert only(effects, AbortAnswer)
@@ -84,7 +84,7 @@
 
 def test_a_late_report_of_another_attempt_changes_nothing() -> None:
     # A second report for the first target must not end the attempt that now runs on another one.
-    log, node = alone()
+    log, node = make_single_node()
     first = only(ask(node, log, "r"), Send)
     end(node, log, "r", AttemptResult.TIMED_OUT)
     late = AttemptEnded(
@@ -101,7 +101,7 @@
 def test_retries_stay_within_the_budget_when_everything_fails() -> None:
     # Without a retry budget, the loss of an availability zone would triple the load on the
     # remaining targets.
-    log, node = alone(targets=12)
+    log, node = make_single_node(targets=12)
     first_tries = retries = 0
     for number in range(400):
         log.now_ms += 1
@@ -118,7 +118,7 @@
 def test_ejection_leaves_what_the_budget_needs() -> None:
     # Requests fail on every target because a shared dependency is broken. Ejecting all targets
     # would turn errors into an outage.
-    log, node = alone(targets=6, min_serving=4)
+    log, node = make_single_node(targets=6, min_serving=4)
     ejected = set()
     for number in range(300):
         ask(node, log, str(number))
@@ -129,12 +129,12 @@
 
 
 def test_a_returning_target_starts_slowly() -> None:
-    log, node = alone(targets=6)
+    log, node = make_single_node(targets=6)
     target = node.local.routing.targets["t0"]
     for number in range(40):
         only(ask(node, log, str(number)), Send)
         failed = node.local.routing.requests[str(number)].target == "t0"
-        end(node, log, str(number), AttemptResult.CONNECT_FAILED if failed else end_well())
+        end(node, log, str(number), AttemptResult.CONNECT_FAILED if failed else whole_answer())
         if str(number) in node.local.routing.requests:
             end(node, log, str(number))
     assert target.ejected_until_ms > log.now_ms
@@ -145,14 +145,14 @@
     assert target.in_progress == 1
 
 
-def end_well() -> AttemptResult:
+def whole_answer() -> AttemptResult:
     return AttemptResult.WHOLE_ANSWER
 
 
 def test_without_a_lease_only_idempotent_requests_go_and_only_nearby() -> None:
     # The lease has expired. Idempotent requests continue within the local zone; others must be
     # refused at once as *not run*, with a retry-after time.
-    log, node = alone()
+    log, node = make_single_node()
     log.now_ms = node.local.lease.valid_until_ms
     refused = only(ask(node, log, "w", idempotent=False), Refuse)
     assert (refused.outcome, refused.reason) == (Outcome.NOT_RUN, RefusalReason.LEASE_LAPSED)
@@ -162,17 +162,17 @@
     assert zones == ["east"] * 16 and isinstance(sent[16], Queued)
 
 
-def test_the_own_zone_goes_first_and_the_rest_spills_over() -> None:
-    log, node = alone()
+def test_the_local_zone_is_preferred_and_the_rest_spills_over() -> None:
+    log, node = make_single_node()
     sends = [only(ask(node, log, str(number)), Send) for number in range(20)]
     zones = [node.local.routing.targets[send.target].zone for send in sends]
     assert zones[:16] == ["east"] * 16 and "east" not in zones[16:]
 
 
-def test_a_leaving_target_gets_nothing_though_the_list_lags() -> None:
+def test_a_leaving_target_gets_no_requests_though_the_list_lags() -> None:
     # The platform's list still shows a target as live that has reported that it is leaving. The
     # outdated list must not return it to service.
-    log, node = alone(targets=1)
+    log, node = make_single_node(targets=1)
     reduce(node, TargetLeaving(now_ms=log.now_ms, target="t0", source=LeavingSource.TARGET))
     reduce(node, TargetLive(now_ms=log.now_ms + 1_000, target="t0"))
     assert only(ask(node, log, "r"), Refuse).reason is RefusalReason.NO_TARGET
@@ -181,15 +181,15 @@
 
 
 def test_a_queue_is_bounded_and_refuses_at_once() -> None:
-    log, node = alone(targets=1)
+    log, node = make_single_node(targets=1)
     effects = [ask(node, log, str(number))[0] for number in range(8 + 64 + 1)]
     assert [type(effect) for effect in effects] == [Send] * 8 + [Queued] * 64 + [Refuse]
     assert isinstance(effects[-1], Refuse) and effects[-1].retry_after_ms > 0
 
 
-def test_nobody_waits_for_a_turn_that_comes_too_late() -> None:
+def test_a_request_that_would_wait_past_its_deadline_is_refused() -> None:
     # A request that can't be served before its deadline would take a slot from one that can.
-    log, node = alone(targets=1)
+    log, node = make_single_node(targets=1)
     for number in range(8):
         ask(node, log, f"warm{number}")
         end(node, log, f"warm{number}", latency_ms=4_000)
@@ -199,8 +199,8 @@
     assert refused.reason is RefusalReason.QUEUE_TOO_SLOW
 
 
-def test_a_request_that_outlives_its_deadline_in_the_queue_is_ended() -> None:
-    log, node = alone(targets=1)
+def test_a_queued_request_is_ended_at_its_deadline() -> None:
+    log, node = make_single_node(targets=1)
     for number in range(8):
         ask(node, log, str(number))
     assert only(ask(node, log, "w", deadline_ms=1_000), Queued)
@@ -210,7 +210,7 @@
     assert not node.local.routing.pools["desk"].waiting
 
 
-def test_urgent_goes_first_teams_take_turns_and_none_starves() -> None:
+def test_urgent_class_goes_first_owners_alternate_and_none_starves() -> None:
     log = Log()
     limits = RequestLimits(slots_per_worker=1)
     log.put_service("route", service_class=ServiceClass.URGENT, limits=limits)
--- a/tests/requests/test_limits.py
+++ b/tests/requests/test_limits.py
@@ -195,7 +195,7 @@
         log.append(body, author=instance)
 
 
-def test_a_share_that_shrank_is_acknowledged_when_the_surplus_has_ended() -> None:
+def test_a_reduced_share_is_acknowledged_after_excess_requests_ended() -> None:
     # A second entry instance joins while the first one uses all 8 slots. If the first acknowledged
     # its smaller share before requests end, the target would have 12 requests.
     log = Log()
@@ -213,7 +213,7 @@
     assert limits.acknowledged_offset(node) == len(log.records) - 1
 
 
-def test_a_lapsed_holder_keeps_its_share_elsewhere_for_the_grace() -> None:
+def test_an_expired_lease_keeps_its_share_in_other_zones_for_the_grace_period() -> None:
     # Requests that a disconnected entry instance sent to another zone before its lease expired may
     # run until the grace period ends. Its slots must not be reused before that.
     log = Log()
@@ -235,7 +235,7 @@
     assert limits.share(node, "t0", node.local.routing.targets["t0"]) == 8
 
 
-def test_what_could_outlive_the_grace_stays_in_its_zone() -> None:
+def test_a_request_that_may_outlive_the_grace_period_stays_in_its_zone() -> None:
     log = Log()
     log.put_service(limits=RequestLimits(deadline_ms=30_000))
     log.admit(2)
@@ -247,7 +247,7 @@
     assert isinstance(short, Send) and isinstance(long, Queued)
 
 
-def test_a_restored_process_has_no_share_before_all_know_it() -> None:
+def test_a_restored_process_has_no_share_before_all_acknowledge_it() -> None:
     # A process restored from a snapshot doesn't know the earlier views. Another entry instance may
     # still use one of them and its slots.
     log = Log()
@@ -255,9 +255,9 @@
     log.admit(1)
     log.join("e1", "east")
     log.join("e2", "east")
-    behind = make_node(log, "e1")
+    restored_from = make_node(log, "e1")
     node = NodeState(local=LocalState(instance="e2", zone="east", incarnation=incarnation_of("e2")))
-    node.fleet = from_canonical_bytes(canonical_bytes(behind.fleet))
+    node.fleet = from_canonical_bytes(canonical_bytes(restored_from.fleet))
     reduce(node, FleetRestored(now_ms=log.now_ms))
     target = node.local.routing.targets["t0"]
     assert limits.share(node, "t0", target) == 0
@@ -266,7 +266,7 @@
     assert limits.share(node, "t0", target) == 4
 
 
-def test_a_sponsor_parts_its_share_with_its_newcomer() -> None:
+def test_a_sponsor_divides_its_share_with_its_joining_instance() -> None:
     # An instance that joins from a peer while the platform is down is in no view. It may only use
     # a slot that its sponsor no longer uses.
     log = Log()
@@ -274,19 +274,19 @@
     log.admit(1)
     log.join("e1", "east")
     sponsor = make_node(log)
-    newcomer = NodeState(
+    joining = NodeState(
         local=LocalState(instance="e2", zone="east", incarnation=incarnation_of("e2"))
     )
-    newcomer.fleet = from_canonical_bytes(canonical_bytes(sponsor.fleet))
-    reduce(newcomer, FleetRestored(now_ms=log.now_ms))
+    joining.fleet = from_canonical_bytes(canonical_bytes(sponsor.fleet))
+    reduce(joining, FleetRestored(now_ms=log.now_ms))
     started = StartedFromPeer(
         now_ms=log.now_ms, sponsor=incarnation_of("e1"), sent_ms=log.now_ms, needed_offset=0
     )
-    reduce(newcomer, started)
-    begun = NewcomerStarted(now_ms=log.now_ms, instance="e2", incarnation=incarnation_of("e2"))
-    reduce(sponsor, begun)
+    reduce(joining, started)
+    sponsored = NewcomerStarted(now_ms=log.now_ms, instance="e2", incarnation=incarnation_of("e2"))
+    reduce(sponsor, sponsored)
     shares = [
-        limits.share(node, "t0", node.local.routing.targets["t0"]) for node in (sponsor, newcomer)
+        limits.share(node, "t0", node.local.routing.targets["t0"]) for node in (sponsor, joining)
     ]
     assert shares == [7, 1]
 
