--- a/heatherkeel/requests/arrival.py
+++ b/heatherkeel/requests/arrival.py
@@ -1,46 +1,46 @@
-"""Takes a request from its arrival to its first send, its place in a queue, or its refusal."""
+"""Handles new requests: sends, queues or refuses them."""
 
 from __future__ import annotations
 
 from heatherkeel.core.models import Effect
 from heatherkeel.core.node import NodeState, listens
 
-from .claims import answer_repeat
+from .claims import answer_repeated_key
 from .const import MAX_KEYED_DEADLINE_MS
 from .effects import Queued, Refuse
 from .events import CallerGone, InputRefused, RequestArrived
 from .local import ActiveRequest, RequestPhase
-from .queues import check_room, enqueue, forget, retry_after_ms
+from .queues import check_queue_capacity, enqueue, remove_waiting, retry_after_ms
 from .reasons import Outcome, RefusalReason
-from .retries import earn
+from .retries import earn_retry_budget
 from .routing import lease_refusal, pick
-from .sending import begin, not_run
+from .sending import refuse_not_run, start_request
 from .targets import find_service
 
 
 @listens(RequestArrived)
 def on_request_arrived(node: NodeState, event: RequestArrived) -> list[Effect]:
-    """Send a request at once, let it wait for a slot, or refuse it."""
+    """Send a request at once, queue it for a slot, or refuse it."""
     service = find_service(node.local.routing, event.path)
     if service is None:
-        return [not_run(event.request_id, RefusalReason.NO_SERVICE, 0)]
+        return [refuse_not_run(event.request_id, RefusalReason.NO_SERVICE, 0)]
     request = _make_request(node, event, service)
-    answer = _answer_at_once(node, event.request_id, request, event.now_ms)
+    answer = _find_immediate_answer(node, event.request_id, request, event.now_ms)
     if answer is not None:
         return [answer]
-    earn(node, service)
+    earn_retry_budget(node, service)
     node.local.routing.requests[event.request_id] = request
-    # Nobody overtakes those who wait already.
+    # A new request must not overtake those that already wait.
     waiting = node.local.routing.pools[request.pool].waiting
     target = None if waiting else pick(node, request, event.now_ms)
     if target is not None:
-        return [begin(node, event.request_id, request, target, event.now_ms)]
-    return [_wait(node, event.request_id, request, event.now_ms)]
+        return [start_request(node, event.request_id, request, target, event.now_ms)]
+    return [_queue_or_refuse(node, event.request_id, request, event.now_ms)]
 
 
 @listens(InputRefused)
 def on_input_refused(node: NodeState, event: InputRefused) -> list[Effect]:
-    """Refuse what is not well formed; it comes this way to be counted like any refusal."""
+    """Refuse a malformed request, so that it is counted like any other refusal."""
     refusal = Refuse(
         request_id=event.request_id,
         outcome=Outcome.NOT_RUN,
@@ -52,12 +52,12 @@
 
 def _make_request(node: NodeState, event: RequestArrived, service: str) -> ActiveRequest:
     entry = node.local.routing.services[service]
-    # Whatever may be sent twice needs no claim, so its key is of no use.
+    # An idempotent request needs no claim, so its key is ignored.
     key = "" if event.idempotent else event.key
-    longest_ms = entry.limits.deadline_ms
+    max_ms = entry.limits.deadline_ms
     if key:
-        longest_ms = min(longest_ms, MAX_KEYED_DEADLINE_MS)
-    given_ms = min(event.deadline_ms, longest_ms) if event.deadline_ms > 0 else longest_ms
+        max_ms = min(max_ms, MAX_KEYED_DEADLINE_MS)
+    allowed_ms = min(event.deadline_ms, max_ms) if event.deadline_ms > 0 else max_ms
     return ActiveRequest(
         service=service,
         pool=entry.pool,
@@ -66,40 +66,42 @@
         idempotent=event.idempotent,
         key=key,
         fingerprint=event.fingerprint,
-        deadline_at_ms=event.now_ms + given_ms,
+        deadline_at_ms=event.now_ms + allowed_ms,
     )
 
 
-def _answer_at_once(
+def _find_immediate_answer(
     node: NodeState, request_id: str, request: ActiveRequest, now_ms: int
 ) -> Effect | None:
-    """Return the final answer to a request that can't run, or whose key already did."""
+    """Return the answer to a request that can't run or whose key was used before, or `None`."""
     if request.key:
-        repeat = answer_repeat(node, request_id, request)
+        repeat = answer_repeated_key(node, request_id, request)
         if repeat is not None:
             return repeat
     refusal = lease_refusal(node, request, now_ms)
     if refusal is not None:
-        return not_run(request_id, refusal)
+        return refuse_not_run(request_id, refusal)
     pool = node.local.routing.pools.get(request.pool)
     if pool is None or not any(pool.candidates.values()):
-        return not_run(request_id, RefusalReason.NO_TARGET)
+        return refuse_not_run(request_id, RefusalReason.NO_TARGET)
     return None
 
 
-def _wait(node: NodeState, request_id: str, request: ActiveRequest, now_ms: int) -> Effect:
+def _queue_or_refuse(
+    node: NodeState, request_id: str, request: ActiveRequest, now_ms: int
+) -> Effect:
     routing = node.local.routing
-    reason = check_room(routing, request, now_ms)
+    reason = check_queue_capacity(routing, request, now_ms)
     if reason is not None:
         del routing.requests[request_id]
-        return not_run(request_id, reason, retry_after_ms(routing.pools[request.pool]))
+        return refuse_not_run(request_id, reason, retry_after_ms(routing.pools[request.pool]))
     enqueue(routing, request_id, request)
     return Queued(request_id=request_id)
 
 
 @listens(CallerGone)
 def on_caller_gone(node: NodeState, event: CallerGone) -> list[Effect]:
-    """Forget a request that waits for nobody; a claim on its way is withdrawn when it is read."""
+    """Drop a queued request without a caller; a pending claim is withdrawn when read back."""
     request = node.local.routing.requests.get(event.request_id)
     if request is None:
         return []
@@ -107,6 +109,6 @@
         request.abandoned = True
     if request.phase is not RequestPhase.QUEUED:
         return []
-    forget(node.local.routing, request)
+    remove_waiting(node.local.routing, request)
     del node.local.routing.requests[event.request_id]
-    return [not_run(event.request_id, RefusalReason.CALLER_GONE, 0)]
+    return [refuse_not_run(event.request_id, RefusalReason.CALLER_GONE, 0)]
--- a/heatherkeel/requests/attempts.py
+++ b/heatherkeel/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Takes the end of an attempt: answers, tries another target, or gives up, each at once."""
+"""Handles the end of an attempt: passes on the answer, retries, or refuses the request."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from heatherkeel.core.models import Effect
 from heatherkeel.core.node import NodeState, listens
 
-from .claims import outcome_of
+from .claims import outcome_effects
 from .const import LATENCY_WEIGHT
 from .effects import AbortAnswer, NotRetried, PassOn, Refuse, Retried
 from .events import AttemptEnded, AttemptResult
-from .health import note_failure, note_success
+from .health import record_failure, record_success
 from .local import ActiveRequest, RequestPhase
 from .models import ClaimStatus
-from .queues import note_end, retry_after_ms
+from .queues import retry_after_ms, update_drain_interval
 from .reasons import Outcome, RefusalReason
 from .retries import NOT_RUN_RESULTS, RETRY_REASONS, decide_retry
-from .sending import begin_again, free_slot
+from .sending import free_slot, start_retry
 from .waiting import serve_waiting
 
-REFUSAL_OF_RESULT: Final = {
+REFUSAL_BY_RESULT: Final = {
     AttemptResult.REFUSED_BEFORE_START: RefusalReason.TARGET_REFUSED,
     AttemptResult.CONNECT_FAILED: RefusalReason.CONNECT_FAILED,
     AttemptResult.BROKEN_AFTER_SEND: RefusalReason.BROKEN_AFTER_SEND,
@@ -34,29 +34,29 @@
 
 @listens(AttemptEnded)
 def on_attempt_ended(node: NodeState, event: AttemptEnded) -> list[Effect]:
-    """Answer, try another target, or refuse; then give the freed slot to who waits."""
+    """Answer, retry or refuse the request, and assign the freed slot to a waiting request."""
     request = node.local.routing.requests.get(event.request_id)
     if request is None or request.phase is not RequestPhase.SENT:
         return []
     if request.target != event.target:
         return []
-    note_end(node.local.routing.pools[request.pool], event.now_ms)
-    effects = _note_health(node, request, event)
+    update_drain_interval(node.local.routing.pools[request.pool], event.now_ms)
+    effects = _record_result(node, request, event)
     free_slot(node, request)
     if event.result is AttemptResult.WHOLE_ANSWER:
         effects += _answer(node, request, event)
     else:
-        effects += _fail(node, request, event)
+        effects += _retry_or_refuse(node, request, event)
     return effects + serve_waiting(node, request.pool, event.target, event.now_ms)
 
 
-def _note_health(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> list[Effect]:
+def _record_result(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> list[Effect]:
     if event.result is AttemptResult.CALLER_GONE:
         return []
     if event.result is not AttemptResult.WHOLE_ANSWER or event.server_error:
-        return note_failure(node, event.target, now_ms=event.now_ms)
+        return record_failure(node, event.target, now_ms=event.now_ms)
     target = node.local.routing.targets[event.target]
-    note_success(target, latency_ms=event.latency_ms, now_ms=event.now_ms)
+    record_success(target, latency_ms=event.latency_ms, now_ms=event.now_ms)
     pool = node.local.routing.pools[request.pool]
     pool.latency_ms += (event.latency_ms - pool.latency_ms) / LATENCY_WEIGHT
     return []
@@ -65,27 +65,31 @@
 def _answer(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> list[Effect]:
     del node.local.routing.requests[event.request_id]
     status = ClaimStatus.RAN if event.answer is not None else ClaimStatus.UNKNOWN
-    record = outcome_of(request, status, event.answer)
+    record = outcome_effects(request, status, event.answer)
     return [PassOn(request_id=event.request_id, target=event.target), *record]
 
 
-def _fail(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> list[Effect]:
+def _retry_or_refuse(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> list[Effect]:
     if event.result not in NOT_RUN_RESULTS:
         request.may_have_run = True
     decision = decide_retry(node, request, event.result, event.now_ms)
     if isinstance(decision, Ok):
         retried = Retried(request_id=event.request_id, reason=RETRY_REASONS[event.result])
         target = decision.ok_value
-        return [retried, begin_again(node, event.request_id, request, target, event.now_ms)]
+        return [retried, start_retry(node, event.request_id, request, target, event.now_ms)]
     del node.local.routing.requests[event.request_id]
     not_retried = NotRetried(request_id=event.request_id, reason=decision.err_value)
     status = ClaimStatus.UNKNOWN if request.may_have_run else ClaimStatus.NOT_RUN
-    return [not_retried, _give_up(node, request, event), *outcome_of(request, status)]
+    return [
+        not_retried,
+        _make_final_answer(node, request, event),
+        *outcome_effects(request, status),
+    ]
 
 
-def _give_up(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> Effect:
-    """Return the final answer, at once, by what is known of all attempts."""
-    reason = REFUSAL_OF_RESULT[event.result]
+def _make_final_answer(node: NodeState, request: ActiveRequest, event: AttemptEnded) -> Effect:
+    """Return the final answer; its outcome takes all attempts into account."""
+    reason = REFUSAL_BY_RESULT[event.result]
     if event.result is AttemptResult.BROKEN_IN_ANSWER:
         return AbortAnswer(request_id=event.request_id, reason=reason)
     outcome = Outcome.UNKNOWN if request.may_have_run else Outcome.NOT_RUN
--- a/heatherkeel/requests/claims.py
+++ b/heatherkeel/requests/claims.py
@@ -1,4 +1,4 @@
-"""Claims as one entry instance sees them: repeats of a key, and claims on their way."""
+"""Handles repeated keys and pending claims at one entry instance."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
     ClaimOutcome,
     ClaimStatus,
     RecordedAnswer,
-    claimed_request,
+    claimed_request_id,
 )
 from .reasons import Outcome, RefusalReason
-from .reducer import claimant_may_answer, find_claim
+from .reducer import can_claimant_answer, find_claim
 from .routing import is_candidate, pick
-from .sending import free_slot, not_run, send, take_slot, why_too_late
+from .sending import check_still_sendable, free_slot, refuse_not_run, send, take_slot
 from .waiting import serve_waiting
 
-REFUSAL_OF_CLAIM: Final = {
+REFUSAL_BY_REJECTION: Final = {
     RejectReason.CONFLICT: RefusalReason.KEY_CONFLICT,
     RejectReason.NOT_FOUND: RefusalReason.LEASE_LAPSED,
     RejectReason.WRONG_STATE: RefusalReason.LEASE_LAPSED,
     RejectReason.QUOTA: RefusalReason.TOO_MANY_CLAIMS,
 }
-"""What a refused claim tells the caller, if the key is not held by another request."""
+"""Refusal reasons sent to the caller for rejected claims, except `ALREADY_EXISTS`."""
 
 
-def answer_repeat(node: NodeState, request_id: str, request: ActiveRequest) -> Effect | None:
-    """Return the answer to a request whose key the log knows already, or none if it may run."""
-    held = find_claim(node.fleet, request.service, request.key)
-    if held is None:
+def answer_repeated_key(node: NodeState, request_id: str, request: ActiveRequest) -> Effect | None:
+    """Return the answer to a request whose key was claimed before, or `None` if it may run."""
+    existing = find_claim(node.fleet, request.service, request.key)
+    if existing is None:
         return None
-    if held.fingerprint != request.fingerprint:
-        return not_run(request_id, RefusalReason.KEY_CONFLICT, 0)
-    if held.status is ClaimStatus.NOT_RUN:
+    if existing.fingerprint != request.fingerprint:
+        return refuse_not_run(request_id, RefusalReason.KEY_CONFLICT, 0)
+    if existing.status is ClaimStatus.NOT_RUN:
         return None
-    if held.status is ClaimStatus.RAN and held.answer is not None:
-        return _replay(request_id, held.answer)
-    return _still_open(node, request_id, held)
+    if existing.status is ClaimStatus.RAN and existing.answer is not None:
+        return _replay(request_id, existing.answer)
+    return _refuse_open_key(node, request_id, existing)
 
 
 def _replay(request_id: str, answer: RecordedAnswer) -> Effect:
@@ -55,9 +55,9 @@
     return Refuse(request_id=request_id, outcome=Outcome.RAN, reason=reason)
 
 
-def _still_open(node: NodeState, request_id: str, held: Claim) -> Refuse:
-    """Say *in progress* while the claimant can still answer, and *unknown* for good after it."""
-    if held.status is ClaimStatus.CLAIMED and claimant_may_answer(node.fleet, held):
+def _refuse_open_key(node: NodeState, request_id: str, existing: Claim) -> Refuse:
+    """Return *in progress* while the claimant can still answer, and *unknown* after that."""
+    if existing.status is ClaimStatus.CLAIMED and can_claimant_answer(node.fleet, existing):
         return Refuse(
             request_id=request_id,
             outcome=Outcome.UNKNOWN,
@@ -70,7 +70,7 @@
 
 @listens(Settled)
 def on_settled(node: NodeState, effect: Settled) -> list[Effect]:
-    """Hear how an own claim was decided."""
+    """Report how a claim of this entry instance was decided."""
     request_id = node.local.routing.claims.pop(effect.record_id, None)
     if request_id is None:
         return []
@@ -80,52 +80,55 @@
 
 @listens(ClaimChanged)
 def on_claim_changed(node: NodeState, effect: ClaimChanged) -> list[Effect]:
-    """Withdraw an own claim that nobody waits for any more.
+    """Withdraw a claim of this entry instance that no request waits for.
 
-    Failure: the platform was slow, the caller was told *not run*, and the claim comes into the
-    log after that. Symptom: the caller's repeat is told *in progress* for nothing, then *unknown*.
-    Enough because whoever finds its own claim won too late says that it did not run.
+    If a claim is accepted after its caller got *not run*, a repeated request would get *in
+    progress* and then *unknown*, although nothing runs. Recording *not run* frees the key.
     """
-    request_id = claimed_request(node.local.incarnation, effect.claim)
+    request_id = claimed_request_id(node.local.incarnation, effect.claim)
     if request_id is None or effect.status is not ClaimStatus.CLAIMED:
         return []
     if request_id in node.local.routing.requests:
         return []
-    return [_outcome(effect.service, effect.key, effect.claim, ClaimStatus.NOT_RUN)]
+    return [_write_outcome(effect.service, effect.key, effect.claim, ClaimStatus.NOT_RUN)]
 
 
 @listens(ClaimDecided)
 def on_claim_decided(node: NodeState, event: ClaimDecided) -> list[Effect]:
-    """Send a request that won its key, if it may still be sent; answer one that lost it."""
+    """Send a request whose claim was accepted, if still possible; answer one that was rejected."""
     request = node.local.routing.requests.get(event.request_id)
     if request is None or request.phase is not RequestPhase.CLAIMING:
         return []
     if event.refusal is not None:
-        answer = _lost(node, event.request_id, request, event.refusal)
-        return _end(node, event.request_id, answer, event.now_ms)
-    reason = _why_not_sent(node, request, event.now_ms)
+        answer = _answer_rejected_claim(node, event.request_id, request, event.refusal)
+        return _finish(node, event.request_id, answer, event.now_ms)
+    reason = _check_before_send(node, request, event.now_ms)
     if reason is None:
         return [send(node, event.request_id, request, event.now_ms)]
-    effects = outcome_of(request, ClaimStatus.NOT_RUN)
-    return effects + _end(node, event.request_id, not_run(event.request_id, reason), event.now_ms)
+    effects = outcome_effects(request, ClaimStatus.NOT_RUN)
+    return effects + _finish(
+        node, event.request_id, refuse_not_run(event.request_id, reason), event.now_ms
+    )
 
 
-def _lost(
+def _answer_rejected_claim(
     node: NodeState, request_id: str, request: ActiveRequest, refusal: RejectReason
 ) -> Effect:
     if refusal is RejectReason.ALREADY_EXISTS:
-        repeat = answer_repeat(node, request_id, request)
+        repeat = answer_repeated_key(node, request_id, request)
         if repeat is not None:
             return repeat
-    reason = REFUSAL_OF_CLAIM.get(refusal, RefusalReason.CLAIM_NOT_WRITTEN)
-    return not_run(request_id, reason)
+    reason = REFUSAL_BY_REJECTION.get(refusal, RefusalReason.CLAIM_NOT_WRITTEN)
+    return refuse_not_run(request_id, reason)
 
 
-def _why_not_sent(node: NodeState, request: ActiveRequest, now_ms: int) -> RefusalReason | None:
-    """Return why a won claim is not followed by a send; time has passed since it was written."""
+def _check_before_send(
+    node: NodeState, request: ActiveRequest, now_ms: int
+) -> RefusalReason | None:
+    """Return why a claimed request can no longer be sent, or `None`; may change its target."""
     if request.abandoned:
         return RefusalReason.CALLER_GONE
-    too_late = why_too_late(node, request, now_ms)
+    too_late = check_still_sendable(node, request, now_ms)
     if too_late is not None:
         return too_late
     routing = node.local.routing
@@ -141,31 +144,31 @@
 
 @listens(ClaimWriteFailed)
 def on_claim_write_failed(node: NodeState, event: ClaimWriteFailed) -> list[Effect]:
-    """Refuse a request whose claim could not be written: nothing was sent, and nothing will be."""
+    """Refuse a request whose claim could not be written; it was not sent and will not be."""
     request = node.local.routing.requests.get(event.request_id)
     if request is None or request.phase is not RequestPhase.CLAIMING:
         return []
     node.local.routing.claims.pop(request.claim, None)
-    answer = not_run(event.request_id, RefusalReason.CLAIM_NOT_WRITTEN)
-    return _end(node, event.request_id, answer, event.now_ms)
+    answer = refuse_not_run(event.request_id, RefusalReason.CLAIM_NOT_WRITTEN)
+    return _finish(node, event.request_id, answer, event.now_ms)
 
 
-def _end(node: NodeState, request_id: str, answer: Effect, now_ms: int) -> list[Effect]:
+def _finish(node: NodeState, request_id: str, answer: Effect, now_ms: int) -> list[Effect]:
     request = node.local.routing.requests.pop(request_id)
     free_slot(node, request)
     return [answer, *serve_waiting(node, request.pool, request.target, now_ms)]
 
 
-def outcome_of(
+def outcome_effects(
     request: ActiveRequest, status: ClaimStatus, answer: RecordedAnswer | None = None
 ) -> list[Effect]:
-    """Return the record of how a claimed request ended; none for a request without a claim."""
+    """Return the record of how a claimed request ended; empty for a request without a claim."""
     if not request.claim:
         return []
-    return [_outcome(request.service, request.key, request.claim, status, answer)]
+    return [_write_outcome(request.service, request.key, request.claim, status, answer)]
 
 
-def _outcome(
+def _write_outcome(
     service: str, key: str, claim: str, status: ClaimStatus, answer: RecordedAnswer | None = None
 ) -> WriteOutcome:
     body = ClaimOutcome(service=service, key=key, claim=claim, status=status, answer=answer)
--- a/heatherkeel/requests/health.py
+++ b/heatherkeel/requests/health.py
@@ -1,4 +1,4 @@
-"""Ejects targets that fail everything, and takes them back slowly."""
+"""Ejects targets that fail repeatedly, and returns them with a slow start."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 from .local import RoutingState, TargetView
 
 
-def allowed(target: TargetView, cap: int, now_ms: int) -> int:
-    """Return how many requests a target may have now, out of a share of `cap`."""
+def allowed_requests(target: TargetView, cap: int, now_ms: int) -> int:
+    """Return how many requests a target may have now, at most `cap`."""
     if target.ejected_until_ms > now_ms:
         return 0
     if target.probing:
         return min(1, cap)
-    if target.ramp_from_ms < 0:
+    if target.slow_start_from_ms < 0:
         return cap
-    # A target that just came back is cold. Its full share at once would fail again, and it would
-    # go in and out of ejection for ever.
-    passed_ms = now_ms - target.ramp_from_ms
+    # A target that just returned may not be warmed up. The full share at once could make it fail
+    # and be ejected again and again.
+    passed_ms = now_ms - target.slow_start_from_ms
     return min(cap, max(1, cap * passed_ms // SLOW_START_MS))
 
 
-def note_success(target: TargetView, *, latency_ms: int, now_ms: int) -> None:
-    """Take in a whole answer."""
+def record_success(target: TargetView, *, latency_ms: int, now_ms: int) -> None:
+    """Record a successful attempt."""
     target.latency_ms += (latency_ms - target.latency_ms) / LATENCY_WEIGHT
     target.failures = 0
     if target.probing:
         target.probing = False
-        target.ramp_from_ms = now_ms
+        target.slow_start_from_ms = now_ms
         return
-    if target.ramp_from_ms >= 0 and now_ms - target.ramp_from_ms >= SLOW_START_MS:
-        target.ramp_from_ms = -1
+    if target.slow_start_from_ms >= 0 and now_ms - target.slow_start_from_ms >= SLOW_START_MS:
+        target.slow_start_from_ms = -1
         target.ejections = 0
 
 
-def note_failure(node: NodeState, name: str, *, now_ms: int) -> list[Effect]:
-    """Take in a failed attempt, and eject a target that fails everything."""
+def record_failure(node: NodeState, name: str, *, now_ms: int) -> list[Effect]:
+    """Record a failed attempt, and eject a target that fails repeatedly."""
     routing = node.local.routing
     target = routing.targets[name]
     target.failures += 1
@@ -53,13 +53,13 @@
         return []
     if target.failures < EJECT_AFTER_FAILURES and not target.probing:
         return []
-    if not may_eject(routing, target):
+    if not can_eject(routing, target):
         return []
     target.ejections += 1
     duration_ms = min(EJECT_MAX_MS, EJECT_BASE_MS << min(target.ejections - 1, 8))
     target.ejected_until_ms = now_ms + duration_ms
     target.probing = True
-    target.ramp_from_ms = -1
+    target.slow_start_from_ms = -1
     routing.ejected[name] = target.ejected_until_ms
     return [
         TargetEjected(target=name, until_ms=target.ejected_until_ms),
@@ -67,13 +67,12 @@
     ]
 
 
-def may_eject(routing: RoutingState, target: TargetView) -> bool:
-    """Tell whether the pool can do without one more target.
+def can_eject(routing: RoutingState, target: TargetView) -> bool:
+    """Return whether one more target of the pool may be ejected.
 
-    Failure: something shared by all targets is broken, or a caller's requests fail wherever they
-    go, and one target after another looks bad. Symptom: the pool empties and the ejection itself
-    breaks the availability budget. Enough because what stays is at least what every service of
-    the pool needs, and at least half.
+    Prevents ejections from emptying the pool when a shared dependency fails or a caller's
+    requests fail on every target. At least half of the candidates remain, and at least the
+    `min_serving` of each service.
     """
     candidates = [
         name for names in routing.pools[target.pool].candidates.values() for name in names
@@ -89,7 +88,7 @@
 
 
 def end_ejections(routing: RoutingState, now_ms: int) -> list[Effect]:
-    """Take back the targets whose ejection is over."""
+    """Return the targets to service whose ejection has ended."""
     over = [name for name, until_ms in routing.ejected.items() if until_ms <= now_ms]
     for name in over:
         del routing.ejected[name]
--- a/heatherkeel/requests/routing.py
+++ b/heatherkeel/requests/routing.py
@@ -1,4 +1,4 @@
-"""Picks the target of a request: by load, in the own availability zone first."""
+"""Picks the target of a request by load, preferring the local availability zone."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from heatherkeel.core.node import NodeState
 from heatherkeel.membership.sponsor import may_route
 
-from .const import FULL_ZONE_MS, SHARE_GRACE_MS
-from .health import allowed
+from .const import FULL_ZONE_RECHECK_MS, SHARE_GRACE_MS
+from .health import allowed_requests
 from .limits import share
 from .local import ActiveRequest, FullZone, PoolView, RoutingState, TargetView
 from .reasons import RefusalReason
@@ -19,27 +19,27 @@
 
 
 def pick(node: NodeState, request: ActiveRequest, now_ms: int) -> str | None:
-    """Return a target with room for a request, or none.
+    """Return a target with capacity for a request, or `None`.
 
-    The own availability zone goes first; others take what is past its shares.
+    Other availability zones are tried only if the local one has no capacity.
     """
     routing = node.local.routing
     pool = routing.pools.get(request.pool)
     if pool is None:
         return None
     picked = _pick_in_zone(node, pool, node.local.zone, request, now_ms)
-    if picked is not None or not may_cross(node, request, now_ms):
+    if picked is not None or not can_leave_zone(node, request, now_ms):
         return picked
-    away = [zone for zone in sorted(pool.candidates) if zone != node.local.zone]
-    return _pick_from_zones(node, away, request, now_ms)
+    other_zones = [zone for zone in sorted(pool.candidates) if zone != node.local.zone]
+    return _pick_from_zones(node, other_zones, request, now_ms)
 
 
 def _pick_from_zones(
     node: NodeState, zones: Sequence[str], request: ActiveRequest, now_ms: int
 ) -> str | None:
-    """Try the zones in turn, from one drawn by chance so that none is always the first."""
+    """Try each zone, starting at a random one so that no zone is always preferred."""
     pool = node.local.routing.pools[request.pool]
-    start = draw(node.local.routing, len(zones)) if zones else 0
+    start = draw_number(node.local.routing, len(zones)) if zones else 0
     for zone in (*zones[start:], *zones[:start]):
         picked = _pick_in_zone(node, pool, zone, request, now_ms)
         if picked is not None:
@@ -47,23 +47,22 @@
     return None
 
 
-def may_cross(node: NodeState, request: ActiveRequest, now_ms: int) -> bool:
-    """Tell whether a request may go to another availability zone.
+def can_leave_zone(node: NodeState, request: ActiveRequest, now_ms: int) -> bool:
+    """Return whether a request may go to another availability zone.
 
-    Once the routing lease and its grace are over, the others use this entry instance's share of
-    targets elsewhere. So the request has to end before.
+    It must end before the routing lease and its grace period do, because other entry instances
+    then use this one's share of targets in other zones.
     """
     lease_end_ms = node.local.lease.valid_until_ms
     return now_ms < lease_end_ms and request.deadline_at_ms <= lease_end_ms + SHARE_GRACE_MS
 
 
 def lease_refusal(node: NodeState, request: ActiveRequest, now_ms: int) -> RefusalReason | None:
-    """Return why a request may not be sent without a routing lease, or none if it may.
+    """Return why a request may not be sent without a routing lease, or `None` if it may.
 
-    Failure: this process is cut off, or was paused, and a drain or another entry instance's claim
-    went on without it. Symptom: a non-idempotent request runs on a target that is being stopped,
-    or runs twice. Enough because without a lease nothing is sent that may not be sent again, and
-    a newcomer that the fold doesn't know sends nothing at all without its sponsor.
+    Prevents a disconnected or paused process from running a non-idempotent request twice or on a
+    stopping target. Without a lease, only idempotent requests are sent; a joining instance that
+    isn't in the fold sends no requests without its sponsor.
     """
     if not may_route(node, now_ms):
         return RefusalReason.NO_SPONSOR
@@ -72,77 +71,79 @@
     return None
 
 
-def fits(node: NodeState, request: ActiveRequest, name: str, now_ms: int) -> bool:
-    """Tell whether a target may take a request now."""
+def can_take_request(node: NodeState, request: ActiveRequest, name: str, now_ms: int) -> bool:
+    """Return whether a target may receive a request now."""
     target = node.local.routing.targets[name]
     if name in request.tried or not is_candidate(node.local.routing, name, target):
         return False
-    if target.zone != node.local.zone and not may_cross(node, request, now_ms):
+    if target.zone != node.local.zone and not can_leave_zone(node, request, now_ms):
         return False
-    return has_room(node, name, target, now_ms)
+    return has_free_slot(node, name, target, now_ms)
 
 
 def is_candidate(routing: RoutingState, name: str, target: TargetView) -> bool:
-    """Tell whether a target may get new work at all."""
-    out = target.leaving or target.gone or name in routing.leaving
-    return target.serving and not out
+    """Return whether a target may receive new requests, regardless of its load."""
+    excluded = target.leaving or target.gone or name in routing.leaving
+    return target.serving and not excluded
 
 
-def has_room(node: NodeState, name: str, target: TargetView, now_ms: int) -> bool:
-    """Tell whether a target has a free slot in this entry instance's share."""
-    return target.in_progress < allowed(target, share(node, name, target), now_ms)
+def has_free_slot(node: NodeState, name: str, target: TargetView, now_ms: int) -> bool:
+    """Return whether a target has a free slot in this entry instance's share."""
+    return target.in_progress < allowed_requests(target, share(node, name, target), now_ms)
 
 
 def _pick_in_zone(
     node: NodeState, pool: PoolView, zone: str, request: ActiveRequest, now_ms: int
 ) -> str | None:
-    """Pick in one zone; look at all its targets only if something may have changed since."""
+    """Pick a target in one zone; skip the search if the zone was full and nothing has changed."""
     generation = node.local.routing.shares.generation
-    full = pool.full.get(zone)
+    full = pool.full_zones.get(zone)
     if full is not None and full.generation == generation and now_ms < full.until_ms:
-        return _take_freed(node, full, request, now_ms)
-    picked = _pick_among(node, pool.candidates.get(zone, ()), request, now_ms)
+        return _pick_freed(node, full, request, now_ms)
+    picked = _pick_by_load(node, pool.candidates.get(zone, ()), request, now_ms)
     if picked is None and not request.tried:
-        pool.full[zone] = FullZone(generation=generation, until_ms=now_ms + FULL_ZONE_MS)
+        pool.full_zones[zone] = FullZone(
+            generation=generation, until_ms=now_ms + FULL_ZONE_RECHECK_MS
+        )
     return picked
 
 
-def _take_freed(node: NodeState, full: FullZone, request: ActiveRequest, now_ms: int) -> str | None:
-    """Return a target on which a slot was freed since all were found full."""
+def _pick_freed(node: NodeState, full: FullZone, request: ActiveRequest, now_ms: int) -> str | None:
+    """Return a target on which a slot was freed after the zone was found full, or `None`."""
     while full.freed:
         name, _ = full.freed.popitem()
-        if name in node.local.routing.targets and fits(node, request, name, now_ms):
+        if name in node.local.routing.targets and can_take_request(node, request, name, now_ms):
             return name
     return None
 
 
-def _pick_among(
+def _pick_by_load(
     node: NodeState, names: Sequence[str], request: ActiveRequest, now_ms: int
 ) -> str | None:
-    """Return the less loaded of two targets drawn by chance; look at all if neither has room.
+    """Return the less loaded of two random targets, or the least loaded if neither has capacity.
 
-    The least loaded of all would be picked by every entry instance at once, on figures that are
-    already old; two drawn by chance spread the load nearly as well.
+    Two random choices keep the entry instances from all picking the same least loaded target
+    from outdated load figures.
     """
     if not names:
         return None
-    first = names[draw(node.local.routing, len(names))]
-    second = names[draw(node.local.routing, len(names))]
-    usable = [name for name in (first, second) if fits(node, request, name, now_ms)]
+    first = names[draw_number(node.local.routing, len(names))]
+    second = names[draw_number(node.local.routing, len(names))]
+    usable = [name for name in (first, second) if can_take_request(node, request, name, now_ms)]
     if usable:
         return min(usable, key=lambda name: _load(node, name))
-    usable = [name for name in names if fits(node, request, name, now_ms)]
+    usable = [name for name in names if can_take_request(node, request, name, now_ms)]
     return min(usable, key=lambda name: _load(node, name), default=None)
 
 
 def _load(node: NodeState, name: str) -> float:
-    """Return what one more request would wait here: its place in the share, times the latency."""
+    """Return the load score of a target for one more request; lower is better."""
     target = node.local.routing.targets[name]
-    place = (target.in_progress + 1) / max(1, target.cap)
-    return place * target.latency_ms * (1 + target.failures)
+    position = (target.in_progress + 1) / max(1, target.cap)
+    return position * target.latency_ms * (1 + target.failures)
 
 
-def draw(routing: RoutingState, count: int) -> int:
-    """Return a number from 0 to `count` - 1; the generator's state is part of the local state."""
+def draw_number(routing: RoutingState, count: int) -> int:
+    """Return a pseudorandom number from 0 to `count` - 1 from the generator in the local state."""
     routing.seed = (routing.seed * _MULTIPLIER + _INCREMENT) & _MASK
     return (routing.seed >> 33) % count
--- a/heatherkeel/requests/waiting.py
+++ b/heatherkeel/requests/waiting.py
@@ -1,4 +1,4 @@
-"""Serves the requests that wait for a slot, and ends those that waited too long."""
+"""Serves queued requests, and ends those whose deadline has passed."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from .events import QueueTick
 from .health import end_ejections
 from .local import ActiveRequest
-from .queues import forget, next_class, overdue, peek, retry_after_ms, take
+from .queues import dequeue, next_class, peek, pop_overdue, remove_waiting, retry_after_ms
 from .reasons import RefusalReason
-from .routing import fits, pick
-from .sending import begin, not_run, why_too_late
+from .routing import can_take_request, pick
+from .sending import check_still_sendable, refuse_not_run, start_request
 
 
 @listens(QueueTick)
 def on_queue_tick(node: NodeState, event: QueueTick) -> list[Effect]:
-    """End what has waited too long, and use what time has freed."""
+    """End overdue requests and ejections, and serve waiting requests."""
     routing = node.local.routing
     effects = end_ejections(routing, event.now_ms)
-    for request_id in overdue(routing, event.now_ms):
+    for request_id in pop_overdue(routing, event.now_ms):
         effects.append(_end_waiting(node, request_id, RefusalReason.DEADLINE))
     for pool, view in routing.pools.items():
         if view.waiting:
@@ -31,14 +31,14 @@
 def _end_waiting(node: NodeState, request_id: str, reason: RefusalReason) -> Refuse:
     routing = node.local.routing
     request = routing.requests.pop(request_id)
-    forget(routing, request)
-    return not_run(request_id, reason, retry_after_ms(routing.pools[request.pool]))
+    remove_waiting(routing, request)
+    return refuse_not_run(request_id, reason, retry_after_ms(routing.pools[request.pool]))
 
 
 def serve_waiting(node: NodeState, pool: str, freed: str | None, now_ms: int) -> list[Effect]:
-    """Send waiting requests in their order, until one finds no slot.
+    """Send waiting requests in queue order until no slot is left for the next one.
 
-    With a slot that was just freed, there is one for one of them.
+    With `freed`, the target of a slot that was just freed, at most one request is sent.
     """
     routing = node.local.routing
     view = routing.pools[pool]
@@ -46,24 +46,24 @@
     while (service_class := next_class(view)) is not None:
         request_id = peek(routing, view, service_class)
         request = routing.requests[request_id]
-        refusal = why_too_late(node, request, now_ms)
+        refusal = check_still_sendable(node, request, now_ms)
         if refusal is not None:
             effects.append(_end_waiting(node, request_id, refusal))
             continue
-        target = _slot_for(node, request, freed, now_ms)
+        target = _pick_target(node, request, freed, now_ms)
         if target is None:
             break
-        take(routing, view, service_class)
-        effects.append(begin(node, request_id, request, target, now_ms))
+        dequeue(routing, view, service_class)
+        effects.append(start_request(node, request_id, request, target, now_ms))
         if freed is not None:
             break
     return effects
 
 
-def _slot_for(
+def _pick_target(
     node: NodeState, request: ActiveRequest, freed: str | None, now_ms: int
 ) -> str | None:
-    """Return the slot that was just freed if it fits: no need to look at all targets then."""
-    if freed in node.local.routing.targets and fits(node, request, freed, now_ms):
+    """Return the target of the freed slot if it fits, which avoids a search of all targets."""
+    if freed in node.local.routing.targets and can_take_request(node, request, freed, now_ms):
         return freed
     return pick(node, request, now_ms)
