--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -271,7 +271,7 @@
     full_until_ms: int = 0
     """Until when it gets no more work, after it refused a start for lack of capacity."""
 
-    def is_other_life(self, born: int) -> bool:
+    def is_other_incarnation(self, born: int) -> bool:
         """Return whether a start time belongs to another incarnation."""
         return bool(born and self.born and born != self.born)
 
@@ -284,11 +284,11 @@
 
     def was_sent_before(self, run: Run) -> bool:
         """Return whether a run was sent to an earlier incarnation and isn't listed in this one."""
-        return self.is_other_life(run.born)
+        return self.is_other_incarnation(run.born)
 
     def has_entry(self) -> bool:
         """Return whether its entry is from this incarnation; another may differ in capacity."""
-        return not self.is_other_life(self.entry.born)
+        return not self.is_other_incarnation(self.entry.born)
 
     def is_ready(self) -> bool:
         """Return whether the worker has answered under this owner's token."""
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -66,7 +66,7 @@
     worker.is_listed = True
     if worker.is_earlier_life(entry.born):
         return
-    if worker.is_other_life(entry.born) or entry.service != worker.entry.service:
+    if worker.is_other_incarnation(entry.born) or entry.service != worker.entry.service:
         worker = start_incarnation(state, worker, effects, entry=entry, born=entry.born)
     worker.entry = entry
     worker.born = worker.born or entry.born
@@ -94,7 +94,7 @@
     born = event.listing.born
     if worker is None or born in worker.former:
         return None
-    if worker.is_other_life(born):
+    if worker.is_other_incarnation(born):
         return start_incarnation(state, worker, effects, entry=worker.entry, born=born)
     worker.born = worker.born or born
     worker.told = max(worker.told, event.acknowledged)
