--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -275,7 +275,7 @@
         """Return whether a start time belongs to another incarnation."""
         return bool(born and self.born and born != self.born)
 
-    def is_earlier_life(self, born: int) -> bool:
+    def is_earlier_incarnation(self, born: int) -> bool:
         """Return whether an entry with this start time is from an earlier incarnation.
 
         If the wall clock was set back, a later incarnation may have the smaller start time.
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -64,7 +64,7 @@
 ) -> None:
     """Update a known worker from its entry; a listing may show a new incarnation earlier."""
     worker.is_listed = True
-    if worker.is_earlier_life(entry.born):
+    if worker.is_earlier_incarnation(entry.born):
         return
     if worker.is_other_incarnation(entry.born) or entry.service != worker.entry.service:
         worker = start_incarnation(state, worker, effects, entry=entry, born=entry.born)
