--- a/heatherkeel/dispatch/ends.py
+++ b/heatherkeel/dispatch/ends.py
@@ -11,7 +11,7 @@
 from .events import CountGivenUp, CountLoss, Effects, SaveJob
 from .jobs import end_job, save_ended_job, stop_run
 from .models import Job, JobState, LossReason, Run, Task, Worker
-from .pools import enqueue_step, find_pool, forget_run
+from .pools import enqueue_step, find_pool, remove_run
 from .standing import quarantine_worker
 from .state import PartitionState
 from .suspicion import clear_task, count_crash
@@ -39,7 +39,7 @@
     run = worker.runs.get((ended.task, ended.attempt))
     task = run.task if run is not None else find_task(state, ended.task)
     if run is not None:
-        forget_run(state, run)
+        remove_run(state, run)
         worker.full_until_ms = 0
         effects.touch(run.task.step.job.service)
     if task is None:
@@ -156,7 +156,7 @@
     """
     _log_loss(state, run, reason)
     effects.add(CountLoss(reason=reason))
-    forget_run(state, run)
+    remove_run(state, run)
     task = run.task
     if run.saved:
         task.saved = run.saved
--- a/heatherkeel/dispatch/jobs.py
+++ b/heatherkeel/dispatch/jobs.py
@@ -16,7 +16,7 @@
     StopTask,
 )
 from .models import Job, JobState, Run, RunState
-from .pools import enqueue_step, find_pool, forget_run
+from .pools import enqueue_step, find_pool, remove_run
 from .registry import handles
 from .state import PartitionState
 
@@ -157,7 +157,7 @@
         return
     if run.state is RunState.PLANNED and run.answered_ms is None:
         # The start hasn't been sent. Its session drops it, since the run is no longer known.
-        forget_run(state, run)
+        remove_run(state, run)
         return
     run.state = RunState.STOPPING
     run.answered_ms = None
--- a/heatherkeel/dispatch/pools.py
+++ b/heatherkeel/dispatch/pools.py
@@ -20,7 +20,7 @@
         find_pool(state, step.job.service).open_steps.add(step, state.now_ms)
 
 
-def forget_run(state: PartitionState, run: Run) -> None:
+def remove_run(state: PartitionState, run: Run) -> None:
     """Remove a run from its task and its worker; it must be certain that it no longer runs."""
     if run in run.task.runs:
         run.task.runs.remove(run)
