--- a/heatherkeel/dispatch/orders.py
+++ b/heatherkeel/dispatch/orders.py
@@ -14,7 +14,7 @@
 from .models import LossReason, RunState
 from .registry import handles
 from .state import PartitionState
-from .workers import fall_silent
+from .workers import mark_unresponsive
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -64,7 +64,7 @@
         return
     if worker is not None and event.error.failure in _UNREACHABLE:
         # Otherwise the emptiest worker of a pool would be tried again and again.
-        fall_silent(state, worker, effects, detail=event.error.detail)
+        mark_unresponsive(state, worker, effects, detail=event.error.detail)
     if worker is not None and _is_refusal_persistent(event.error):
         # Its capacity has shrunk and its entry doesn't say so yet, or it can't read the order.
         # Without a pause it would be sent the same start every few milliseconds.
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -241,11 +241,13 @@
     if event.error.failure is Failure.OTHER_INSTANCE:
         end_incarnation(state, worker, effects, reason=LossReason.ADDRESS_TAKEN)
         return
-    fall_silent(state, worker, effects, detail=event.error.detail)
+    mark_unresponsive(state, worker, effects, detail=event.error.detail)
     drop_if_expired(state, worker, effects)
 
 
-def fall_silent(state: PartitionState, worker: Worker, effects: Effects, *, detail: str) -> None:
+def mark_unresponsive(
+    state: PartitionState, worker: Worker, effects: Effects, *, detail: str
+) -> None:
     """Give a worker no more work until it responds again."""
     if worker.is_unresponsive:
         return
