--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -254,10 +254,10 @@
     worker.is_unresponsive = True
     worker.silent_since_ms = state.now_ms
     log_worker_event(worker.id, "worker_silent", detail)
-    doubt_runs(state, worker, effects)
+    mark_runs_doubtful(state, worker, effects)
 
 
-def doubt_runs(state: PartitionState, worker: Worker, effects: Effects) -> None:
+def mark_runs_doubtful(state: PartitionState, worker: Worker, effects: Effects) -> None:
     """Let tasks that allow copies start elsewhere while their worker is unresponsive."""
     for run in worker.runs.values():
         run.is_doubtful = True
