--- a/heatherkeel/dispatch/ends.py
+++ b/heatherkeel/dispatch/ends.py
@@ -34,7 +34,7 @@
     return steps[step].tasks[index]
 
 
-def take_end(state: PartitionState, worker: Worker, ended: EndedTask, effects: Effects) -> None:
+def process_end(state: PartitionState, worker: Worker, ended: EndedTask, effects: Effects) -> None:
     """Process one end that a worker has listed."""
     run = worker.runs.get((ended.task, ended.attempt))
     task = run.task if run is not None else find_task(state, ended.task)
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -9,7 +9,7 @@
 from heatherkeel.platform.workers import Listing, RunningTask
 
 from .building import make_placeholder_task
-from .ends import find_task, lose_run, take_end
+from .ends import find_task, lose_run, process_end
 from .events import (
     AcknowledgeEnds,
     Effects,
@@ -124,7 +124,7 @@
     ended_before = worker.seen
     for ended in listing.ended:
         if ended.number > worker.seen:
-            take_end(state, worker, ended, effects)
+            process_end(state, worker, ended, effects)
             worker.seen = ended.number
         elif (ended.task, ended.attempt) in worker.runs:
             log_ignored_end(worker, ended)
