--- a/heatherkeel/dispatch/suspicion.py
+++ b/heatherkeel/dispatch/suspicion.py
@@ -90,7 +90,7 @@
     job.crashes = max(other.crashes for step in job.steps() for other in step.tasks)
 
 
-def take_listed(worker: Worker, run: Run, now_ms: int, effects: Effects) -> None:
+def record_listed_run(worker: Worker, run: Run, now_ms: int, effects: Effects) -> None:
     """Record that a worker still lists a run, which after a while clears it of suspicion.
 
     A run without progress stays unproven, but no longer keeps other jobs off its worker.
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -29,7 +29,7 @@
 from .rooms import cancel_excess_starts
 from .standing import quarantine_if_stalled
 from .state import PartitionState
-from .suspicion import take_listed
+from .suspicion import record_listed_run
 from .telling import log_ignored_end, log_ignored_entry, log_worker_answered, log_worker_event
 
 _LOGGER = logging.getLogger(__name__)
@@ -162,7 +162,7 @@
         else:
             run.born = worker.born
             _update_run(run, row, now_ms)
-            take_listed(worker, run, now_ms, effects)
+            record_listed_run(worker, run, now_ms, effects)
     for run in list(worker.runs.values()):
         # The last order was answered before this listing was requested, so a run that isn't listed
         # has ended unnoticed or was never started.
