--- a/heatherkeel/dispatch/ends.py
+++ b/heatherkeel/dispatch/ends.py
@@ -14,7 +14,7 @@
 from .pools import enqueue_step, find_pool, remove_run
 from .standing import quarantine_worker
 from .state import PartitionState
-from .suspicion import clear_task, count_crash
+from .suspicion import clear_suspicion, count_crash
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -80,7 +80,7 @@
         if member.is_done:
             continue
         member.is_done = True
-        clear_task(member)
+        clear_suspicion(member)
         step.done += 1
         # An earlier run that was presumed lost may have ended as done, so stop the later one.
         for run in list(member.runs):
--- a/heatherkeel/dispatch/suspicion.py
+++ b/heatherkeel/dispatch/suspicion.py
@@ -81,7 +81,7 @@
     return MAX_SOLE_CRASHES if is_sole else MAX_SUDDEN_CRASHES
 
 
-def clear_task(task: Task) -> None:
+def clear_suspicion(task: Task) -> None:
     """Clear a task of suspicion."""
     if not task.crashes:
         return
@@ -102,7 +102,7 @@
         effects.touch(job.service)
     run.is_proven = run.percent > 0
     if run.is_proven and run.task.crashes:
-        clear_task(run.task)
+        clear_suspicion(run.task)
         effects.add(SaveJob(job_id=job.id))
 
 
