--- a/heatherkeel/dispatch/placement.py
+++ b/heatherkeel/dispatch/placement.py
@@ -11,7 +11,7 @@
 from .models import JobState, Run, RunState, Step, Task, Worker
 from .pools import find_pool
 from .state import PartitionState, Pool
-from .suspicion import list_choices
+from .suspicion import group_candidates
 from .tickets import find_ticketed_workers, needs_advice
 
 
@@ -48,7 +48,7 @@
     if not waiting:
         pool.open_steps.discard(step)
         return True
-    choices = list_choices(step, workers)
+    choices = group_candidates(step, workers)
     if step.request.is_gang:
         return _place_gang(state, pool, step, waiting, choices, effects)
     placed = 0
--- a/heatherkeel/dispatch/suspicion.py
+++ b/heatherkeel/dispatch/suspicion.py
@@ -106,7 +106,7 @@
         effects.add(SaveJob(job_id=job.id))
 
 
-def list_choices(step: Step, workers: list[Worker]) -> list[list[Worker]]:
+def group_candidates(step: Step, workers: list[Worker]) -> list[list[Worker]]:
     """Return groups of candidate workers for a step, the preferred group first.
 
     A worker with a task suspected of several crashes is closed to other jobs, whose tasks would be
