--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -12,7 +12,7 @@
 from .registry import handles
 from .rooms import cancel_planned_start
 from .state import PartitionState
-from .suspicion import find_sole_job
+from .suspicion import find_sole_suspect
 from .telling import log_restart, log_worker_event
 
 
@@ -37,7 +37,7 @@
         born=born,
         former=worker.former | ({worker.born} - {0, born}),
         unheard_until_ms=state.now_ms + round(state.longest_lease_ms * SLOWEST_CLOCK),
-        sole_suspect=find_sole_job(worker),
+        sole_suspect=find_sole_suspect(worker),
         is_leaving=worker.is_leaving,
         is_due=worker.is_due,
         is_outdated=worker.is_outdated,
@@ -130,7 +130,7 @@
     state: PartitionState, worker: Worker, effects: Effects, *, reason: LossReason
 ) -> None:
     """Lose all runs of a worker."""
-    sole_suspect = find_sole_job(worker)
+    sole_suspect = find_sole_suspect(worker)
     for run in list(worker.runs.values()):
         is_sole = run.task.step.job is sole_suspect
         lose_run(state, run, effects, reason=reason, is_sole=is_sole)
--- a/heatherkeel/dispatch/suspicion.py
+++ b/heatherkeel/dispatch/suspicion.py
@@ -34,7 +34,7 @@
 sign of a crash if the list of machines can't be read."""
 
 
-def find_sole_job(worker: Worker) -> Job | None:
+def find_sole_suspect(worker: Worker) -> Job | None:
     """Return the only job that may have crashed a worker, if there is just one.
 
     Every unproven run that was sent there is a suspect.
