--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -90,8 +90,8 @@
     state: PartitionState, worker: Worker, effects: Effects, *, reason: LossReason
 ) -> None:
     """Drop an incarnation that has ended, and ignore its entry while it is still read."""
-    earlier = state.gone_lives.get(worker.id, frozenset())
-    state.gone_lives[worker.id] = earlier | worker.former | {worker.born}
+    earlier = state.ended_incarnations.get(worker.id, frozenset())
+    state.ended_incarnations[worker.id] = earlier | worker.former | {worker.born}
     drop_worker(state, worker, effects, reason=reason)
 
 
--- a/heatherkeel/dispatch/state.py
+++ b/heatherkeel/dispatch/state.py
@@ -55,7 +55,7 @@
     workers: dict[str, Worker] = field(default_factory=dict)
     queues: dict[str, Queue] = field(default_factory=dict)
     pools: dict[str, Pool] = field(default_factory=dict)
-    gone_lives: dict[str, frozenset[int]] = field(default_factory=dict)
+    ended_incarnations: dict[str, frozenset[int]] = field(default_factory=dict)
     """Start times of ended incarnations by worker, as long as the worker's ID has an entry."""
     left_out: dict[str, int] = field(default_factory=dict)
     """Start time of the ended incarnation by worker, where its ignored entry was logged."""
@@ -66,7 +66,7 @@
 
     def is_gone(self, worker_id: str, born: int) -> bool:
         """Return whether an incarnation has ended; a start time of 0 matches any."""
-        gone = self.gone_lives.get(worker_id)
+        gone = self.ended_incarnations.get(worker_id)
         return gone is not None and (not born or born in gone)
 
     def find_job(self, job_id: str) -> Job | None:
--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -62,7 +62,7 @@
     assert "w0" not in partition.state.workers
     del partition.entries["w0"]
     partition.list_workers()
-    assert not partition.state.gone_lives
+    assert not partition.state.ended_incarnations
 
 
 def test_run_missing_from_a_later_listing_starts_again() -> None:
