--- a/heatherkeel/dispatch/state.py
+++ b/heatherkeel/dispatch/state.py
@@ -57,7 +57,7 @@
     pools: dict[str, Pool] = field(default_factory=dict)
     ended_incarnations: dict[str, frozenset[int]] = field(default_factory=dict)
     """Start times of ended incarnations by worker, as long as the worker's ID has an entry."""
-    left_out: dict[str, int] = field(default_factory=dict)
+    ignored_entries: dict[str, int] = field(default_factory=dict)
     """Start time of the ended incarnation by worker, where its ignored entry was logged."""
     leaving_ms: int = 0
     """When the fleet's owner last named the workers that leave."""
--- a/heatherkeel/dispatch/telling.py
+++ b/heatherkeel/dispatch/telling.py
@@ -38,9 +38,9 @@
 
 def log_ignored_entry(state: PartitionState, worker_id: str, entry: WorkerEntry) -> None:
     """Log, once per incarnation, that the entry of an ended incarnation is ignored."""
-    if state.left_out.get(worker_id) == entry.born:
+    if state.ignored_entries.get(worker_id) == entry.born:
         return
-    state.left_out[worker_id] = entry.born
+    state.ignored_entries[worker_id] = entry.born
     _LOGGER.info(
         "entry of an ended worker incarnation ignored",
         extra={"event": "worker_left_out", "worker": worker_id, "born": entry.born},
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -38,7 +38,7 @@
 @handles(WorkersListed)
 def take_entries(state: PartitionState, event: WorkersListed, effects: Effects) -> None:
     """Update the workers from their entries; one without an entry may still run tasks."""
-    for known in (state.ended_incarnations, state.left_out):
+    for known in (state.ended_incarnations, state.ignored_entries):
         for worker_id in known.keys() - event.entries.keys():
             del known[worker_id]
     for worker_id, entry in event.entries.items():
