--- a/heatherkeel/dispatch/state.py
+++ b/heatherkeel/dispatch/state.py
@@ -64,7 +64,7 @@
     can_start: bool = True
     """Whether starts can be stored and sent now."""
 
-    def is_gone(self, worker_id: str, born: int) -> bool:
+    def has_incarnation_ended(self, worker_id: str, born: int) -> bool:
         """Return whether an incarnation has ended; a start time of 0 matches any."""
         gone = self.ended_incarnations.get(worker_id)
         return gone is not None and (not born or born in gone)
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -42,7 +42,7 @@
         for worker_id in known.keys() - event.entries.keys():
             del known[worker_id]
     for worker_id, entry in event.entries.items():
-        if state.is_gone(worker_id, entry.born):
+        if state.has_incarnation_ended(worker_id, entry.born):
             log_ignored_entry(state, worker_id, entry)
             continue
         worker = state.workers.get(worker_id)
