--- a/heatherkeel/dispatch/jobs.py
+++ b/heatherkeel/dispatch/jobs.py
@@ -49,7 +49,7 @@
     state.jobs[job.id] = job
     begin_due_occurrences(state, job, effects)
     if job.occurrences:
-        find_pool(state, job.service).take_arrival(job, state.now_ms)
+        find_pool(state, job.service).record_arrival(job, state.now_ms)
     _LOGGER.info(
         "job accepted",
         extra={
--- a/heatherkeel/dispatch/state.py
+++ b/heatherkeel/dispatch/state.py
@@ -24,7 +24,7 @@
     arrivals: deque[tuple[int, float]] = field(default_factory=deque)
     """Arrival time and requested core-milliseconds of each recent job."""
 
-    def take_arrival(self, job: Job, now_ms: int) -> None:
+    def record_arrival(self, job: Job, now_ms: int) -> None:
         """Record the arrival of a job; jobs with long-running tasks don't count."""
         steps = job.request.steps
         if any(step.lasts for step in steps):
