--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -109,7 +109,7 @@
 
 def drop_if_expired(state: PartitionState, worker: Worker, effects: Effects) -> None:
     """Lose the runs of an unreachable worker whose lease has expired; drop it if unlisted."""
-    if not worker.has_lapsed(state.now_ms):
+    if not worker.is_lease_expired(state.now_ms):
         return
     _lose_runs(state, worker, effects, reason=LossReason.LEASE_LAPSED)
     if not worker.is_listed:
--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -373,7 +373,7 @@
         """Return an estimate of the worker's clock."""
         return (self.clock_ms or 0) + now_ms - self.clock_heard_ms
 
-    def has_lapsed(self, now_ms: int) -> bool:
+    def is_lease_expired(self, now_ms: int) -> bool:
         """Return whether everything that ran there has ended because its lease has expired.
 
         The worker runs nothing beyond the latest end of lease that was sent. Its clock may be slow,
