--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -312,7 +312,7 @@
             return 0
         return self.acknowledged
 
-    def takes_work(self, now_ms: int) -> bool:
+    def accepts_work(self, now_ms: int) -> bool:
         """Return whether tasks may be started there."""
         return (
             self.is_ready()
--- a/heatherkeel/dispatch/placement.py
+++ b/heatherkeel/dispatch/placement.py
@@ -20,7 +20,7 @@
     pool = find_pool(state, service)
     if not pool.open_steps:
         return
-    workers = [worker for worker in pool.workers.values() if worker.takes_work(state.now_ms)]
+    workers = [worker for worker in pool.workers.values() if worker.accepts_work(state.now_ms)]
     if not workers:
         return
     sizes = [worker.entry.capacity.cpu / 1000 for worker in workers]
--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -125,7 +125,7 @@
     assert partition.state.workers["w0"].aside_until_ms > partition.now_ms
     assert not partition.state.workers["w0"].runs
     partition.tick(GREY_PAUSE_MS)
-    assert partition.state.workers["w0"].takes_work(partition.now_ms)
+    assert partition.state.workers["w0"].accepts_work(partition.now_ms)
 
 
 def test_draining_worker_gets_no_new_work() -> None:
@@ -232,7 +232,7 @@
     partition.now_ms += STANDING_MS
     effects = partition.list_known_runs("w0", percent=30.0)
     assert set(stopped_runs(effects)) == {first, second}
-    assert not partition.state.workers["w0"].takes_work(partition.now_ms)
+    assert not partition.state.workers["w0"].accepts_work(partition.now_ms)
 
 
 def test_worker_with_one_progressing_task_is_kept() -> None:
@@ -257,9 +257,9 @@
     partition.state.workers["w1"].is_leaving = False
     (again,) = started_runs(partition.answer_start(run, Failure.REFUSED))
     assert again.worker_id == "w1"
-    assert not worker.takes_work(partition.now_ms)
+    assert not worker.accepts_work(partition.now_ms)
     partition.list_known_runs("w0")
-    assert worker.takes_work(partition.now_ms)
+    assert worker.accepts_work(partition.now_ms)
 
 
 def test_start_answered_by_another_incarnation_proves_the_worker_gone() -> None:
