--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -102,7 +102,7 @@
     Their machines have restarted or are down; a worker that is only unreachable is still named.
     """
     for worker in list(state.workers.values()):
-        is_long = state.now_ms - worker.silent_since_ms >= SILENT_MS
+        is_long = state.now_ms - worker.unresponsive_since_ms >= SILENT_MS
         if worker.is_unresponsive and is_long and worker.id not in event.worker_ids:
             end_incarnation(state, worker, effects, reason=LossReason.OTHER_LIFE)
 
--- a/heatherkeel/dispatch/load.py
+++ b/heatherkeel/dispatch/load.py
@@ -73,7 +73,7 @@
     """Return whether a listed worker is unresponsive or quarantined, so it offers no capacity."""
     if not worker.is_listed or worker.is_leaving:
         return False
-    is_unresponsive = worker.is_unresponsive and now_ms - worker.silent_since_ms >= UNHEARD_MS
+    is_unresponsive = worker.is_unresponsive and now_ms - worker.unresponsive_since_ms >= UNHEARD_MS
     return is_unresponsive or worker.aside_until_ms > now_ms
 
 
--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -256,7 +256,7 @@
     is_listed: bool = True
     is_unresponsive: bool = False
     """The last call to it wasn't answered."""
-    silent_since_ms: int = 0
+    unresponsive_since_ms: int = 0
     is_leaving: bool = False
     """Its machine is about to be moved or maintained."""
     paced_ms: int = 0
--- a/heatherkeel/dispatch/telling.py
+++ b/heatherkeel/dispatch/telling.py
@@ -57,7 +57,7 @@
             "born": listing.born,
             "clock_ms": listing.clock_ms,
             "clock_before_ms": worker.clock_ms,
-            "silent_since_ms": worker.silent_since_ms if worker.is_unresponsive else None,
+            "silent_since_ms": worker.unresponsive_since_ms if worker.is_unresponsive else None,
             "running": len(listing.running),
             "known_runs": len(worker.runs),
             "last_end": listing.ended[-1].number if listing.ended else 0,
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -252,7 +252,7 @@
     if worker.is_unresponsive:
         return
     worker.is_unresponsive = True
-    worker.silent_since_ms = state.now_ms
+    worker.unresponsive_since_ms = state.now_ms
     log_worker_event(worker.id, "worker_silent", detail)
     mark_runs_doubtful(state, worker, effects)
 
