--- a/heatherkeel/dispatch/ends.py
+++ b/heatherkeel/dispatch/ends.py
@@ -182,7 +182,7 @@
     worker = state.workers.get(run.worker_id)
     listed_for_ms = None
     if worker is not None and run.listed_since_ms:
-        listed_for_ms = worker.clock_heard_ms - run.listed_since_ms
+        listed_for_ms = worker.clock_received_ms - run.listed_since_ms
     _LOGGER.info(
         "run lost",
         extra={
--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -239,7 +239,7 @@
     used_gpu: int = 0
     clock_ms: int | None = None
     """The worker's last reported clock; None before its first answer under this owner's token."""
-    clock_heard_ms: int = 0
+    clock_received_ms: int = 0
     """When that clock was received, on the local clock."""
     lease_until_ms: int = 0
     """Latest end of lease that was ever sent, on the worker's clock."""
@@ -307,7 +307,9 @@
         A restarted worker reuses these numbers and would drop ends that were never read. So each
         number is acknowledged once, and only right after the worker has listed it.
         """
-        is_fresh = not self.is_unresponsive and now_ms - self.clock_heard_ms <= MAX_LISTING_AGE_MS
+        is_fresh = (
+            not self.is_unresponsive and now_ms - self.clock_received_ms <= MAX_LISTING_AGE_MS
+        )
         if not is_fresh or self.told >= self.acknowledged:
             return 0
         return self.acknowledged
@@ -371,7 +373,7 @@
 
     def clock_at(self, now_ms: int) -> int:
         """Return an estimate of the worker's clock."""
-        return (self.clock_ms or 0) + now_ms - self.clock_heard_ms
+        return (self.clock_ms or 0) + now_ms - self.clock_received_ms
 
     def is_lease_expired(self, now_ms: int) -> bool:
         """Return whether everything that ran there has ended because its lease has expired.
@@ -381,5 +383,5 @@
         """
         if self.clock_ms is None:
             return now_ms > self.unheard_until_ms
-        slowest_clock_ms = self.clock_ms + (now_ms - self.clock_heard_ms) / SLOWEST_CLOCK
+        slowest_clock_ms = self.clock_ms + (now_ms - self.clock_received_ms) / SLOWEST_CLOCK
         return slowest_clock_ms > self.lease_until_ms + LAPSE_MARGIN_MS
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -114,7 +114,7 @@
     if not worker.is_ready():
         _limit_lease(state, worker, event.listing.clock_ms)
     worker.clock_ms = event.listing.clock_ms
-    worker.clock_heard_ms = event.now_ms
+    worker.clock_received_ms = event.now_ms
 
 
 def _process_ends(
