--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -36,7 +36,7 @@
         entry=entry,
         born=born,
         former=worker.former | ({worker.born} - {0, born}),
-        unheard_until_ms=state.now_ms + round(state.longest_lease_ms * SLOWEST_CLOCK),
+        earlier_leases_until_ms=state.now_ms + round(state.longest_lease_ms * SLOWEST_CLOCK),
         sole_suspect=find_sole_suspect(worker),
         is_leaving=worker.is_leaving,
         is_due=worker.is_due,
--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -243,7 +243,7 @@
     """When that clock was received, on the local clock."""
     lease_until_ms: int = 0
     """Latest end of lease that was ever sent, on the worker's clock."""
-    unheard_until_ms: int = 0
+    earlier_leases_until_ms: int = 0
     """When all leases from earlier owners have expired; used until the worker's first answer."""
     seen: int = 0
     """Highest number of an end that was processed."""
@@ -382,6 +382,6 @@
         so it may reach that end later than the local clock suggests.
         """
         if self.clock_ms is None:
-            return now_ms > self.unheard_until_ms
+            return now_ms > self.earlier_leases_until_ms
         slowest_clock_ms = self.clock_ms + (now_ms - self.clock_received_ms) / SLOWEST_CLOCK
         return slowest_clock_ms > self.lease_until_ms + LAPSE_MARGIN_MS
--- a/heatherkeel/dispatch/recovery.py
+++ b/heatherkeel/dispatch/recovery.py
@@ -133,5 +133,5 @@
         worker = Worker(id=run.worker_id, entry=entry, is_listed=False, is_unresponsive=True)
         add_worker(state, worker)
     longest_ms = TTL_MS + LEASE_MS * SLOWEST_CLOCK
-    worker.unheard_until_ms = state.now_ms + round(longest_ms)
+    worker.earlier_leases_until_ms = state.now_ms + round(longest_ms)
     worker.add(run)
