--- a/heatherkeel/dispatch/load.py
+++ b/heatherkeel/dispatch/load.py
@@ -74,7 +74,7 @@
     if not worker.is_listed or worker.is_leaving:
         return False
     is_unresponsive = worker.is_unresponsive and now_ms - worker.unresponsive_since_ms >= UNHEARD_MS
-    return is_unresponsive or worker.aside_until_ms > now_ms
+    return is_unresponsive or worker.quarantined_until_ms > now_ms
 
 
 def _list_usable_capacities(pool: Pool) -> list[_UsableCapacity]:
--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -267,7 +267,7 @@
     """Its machine is to be maintained later."""
     failed_jobs: list[str] = field(default_factory=list)
     """Jobs with failed tasks there since the last success."""
-    aside_until_ms: int = 0
+    quarantined_until_ms: int = 0
     full_until_ms: int = 0
     """Until when it gets no more work, after it refused a start for lack of capacity."""
 
@@ -324,7 +324,7 @@
             and not self.is_leaving
             and not self.is_outdated
             and not self.entry.is_draining()
-            and now_ms >= max(self.aside_until_ms, self.full_until_ms)
+            and now_ms >= max(self.quarantined_until_ms, self.full_until_ms)
         )
 
     def is_overfull(self) -> bool:
--- a/heatherkeel/dispatch/standing.py
+++ b/heatherkeel/dispatch/standing.py
@@ -41,10 +41,10 @@
     Returns whether the worker was quarantined.
     """
     pool = find_pool(state, worker.entry.service)
-    aside = sum(1 for other in pool.workers.values() if other.aside_until_ms > state.now_ms)
+    aside = sum(1 for other in pool.workers.values() if other.quarantined_until_ms > state.now_ms)
     if aside + 1 > MAX_SET_ASIDE * len(pool.workers):
         return False
-    worker.aside_until_ms = state.now_ms + GREY_PAUSE_MS
+    worker.quarantined_until_ms = state.now_ms + GREY_PAUSE_MS
     _LOGGER.warning(
         "worker quarantined",
         extra={
--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -122,7 +122,7 @@
     partition = Partition(workers=3, max_failures=9)
     for number in range(3):
         partition.end_run(start_job_on(partition, "w0", f"{number:016x}"), "failed")
-    assert partition.state.workers["w0"].aside_until_ms > partition.now_ms
+    assert partition.state.workers["w0"].quarantined_until_ms > partition.now_ms
     assert not partition.state.workers["w0"].runs
     partition.tick(GREY_PAUSE_MS)
     assert partition.state.workers["w0"].accepts_work(partition.now_ms)
