--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -245,11 +245,11 @@
     """Latest end of lease that was ever sent, on the worker's clock."""
     earlier_leases_until_ms: int = 0
     """When all leases from earlier owners have expired; used until the worker's first answer."""
-    seen: int = 0
+    last_processed_end: int = 0
     """Highest number of an end that was processed."""
-    acknowledged: int = 0
+    last_stored_end: int = 0
     """Highest number of an end that is stored."""
-    told: int = 0
+    last_acknowledged_end: int = 0
     """Highest number of an end that was acknowledged to the worker."""
     suspects: dict[tuple[str, int], Run] = field(default_factory=dict)
     """Unproven runs of tasks that have lost a worker before."""
@@ -299,7 +299,11 @@
 
         Nothing runs there, and all ends are stored and acknowledged.
         """
-        return not self.runs and self.is_ready() and self.told >= self.seen
+        return (
+            not self.runs
+            and self.is_ready()
+            and self.last_acknowledged_end >= self.last_processed_end
+        )
 
     def to_acknowledge(self, now_ms: int) -> int:
         """Return the highest end number that the next listing may acknowledge; 0 for none.
@@ -310,9 +314,9 @@
         is_fresh = (
             not self.is_unresponsive and now_ms - self.clock_received_ms <= MAX_LISTING_AGE_MS
         )
-        if not is_fresh or self.told >= self.acknowledged:
+        if not is_fresh or self.last_acknowledged_end >= self.last_stored_end:
             return 0
-        return self.acknowledged
+        return self.last_stored_end
 
     def accepts_work(self, now_ms: int) -> bool:
         """Return whether tasks may be started there."""
--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -341,7 +341,7 @@
         worker = effect.worker
         session = self.sessions.get(worker.id)
         if session is not None and session.worker is worker:
-            worker.acknowledged = max(worker.acknowledged, effect.number)
+            worker.last_stored_end = max(worker.last_stored_end, effect.number)
             session.take_stored()
 
     def _delete_records(self, effect: ForgetJob) -> None:
--- a/heatherkeel/dispatch/session.py
+++ b/heatherkeel/dispatch/session.py
@@ -79,11 +79,11 @@
                 continue
             if not await self._async_list_once():
                 await trio.sleep(FAILED_LIST_PAUSE_MS / 1000)
-            elif self.worker.told < self.worker.acknowledged:
+            elif self.worker.last_acknowledged_end < self.worker.last_stored_end:
                 # Acknowledge stored ends at once: while waiting for newer ones, the listing would
                 # become too old.
                 continue
-            elif self.worker.seen > self.worker.acknowledged:
+            elif self.worker.last_processed_end > self.worker.last_stored_end:
                 # Unacknowledged ends are listed again at once, so wait until they are stored.
                 with trio.move_on_after(LIST_WAIT_MS / 1000):
                     await self.stored.wait()
--- a/heatherkeel/dispatch/telling.py
+++ b/heatherkeel/dispatch/telling.py
@@ -23,8 +23,8 @@
             "born": later.born,
             "born_before": worker.born,
             "runs": len(worker.runs),
-            "seen": worker.seen,
-            "acknowledged": worker.acknowledged,
+            "seen": worker.last_processed_end,
+            "acknowledged": worker.last_stored_end,
         },
     )
 
@@ -61,8 +61,8 @@
             "running": len(listing.running),
             "known_runs": len(worker.runs),
             "last_end": listing.ended[-1].number if listing.ended else 0,
-            "seen": worker.seen,
-            "acknowledged": worker.acknowledged,
+            "seen": worker.last_processed_end,
+            "acknowledged": worker.last_stored_end,
         },
     )
 
@@ -78,6 +78,6 @@
             "worker": worker.id,
             "outcome": ended.outcome,
             "number": ended.number,
-            "seen": worker.seen,
+            "seen": worker.last_processed_end,
         },
     )
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -97,7 +97,7 @@
     if worker.is_other_incarnation(born):
         return start_incarnation(state, worker, effects, entry=worker.entry, born=born)
     worker.born = worker.born or born
-    worker.told = max(worker.told, event.acknowledged)
+    worker.last_acknowledged_end = max(worker.last_acknowledged_end, event.acknowledged)
     return worker
 
 
@@ -121,15 +121,15 @@
     state: PartitionState, worker: Worker, listing: Listing, effects: Effects
 ) -> None:
     """Process the new ends of a listing; they are acknowledged once they are stored."""
-    ended_before = worker.seen
+    ended_before = worker.last_processed_end
     for ended in listing.ended:
-        if ended.number > worker.seen:
+        if ended.number > worker.last_processed_end:
             process_end(state, worker, ended, effects)
-            worker.seen = ended.number
+            worker.last_processed_end = ended.number
         elif (ended.task, ended.attempt) in worker.runs:
             log_ignored_end(worker, ended)
-    if worker.seen > ended_before:
-        effects.add(AcknowledgeEnds(worker=worker, number=worker.seen))
+    if worker.last_processed_end > ended_before:
+        effects.add(AcknowledgeEnds(worker=worker, number=worker.last_processed_end))
 
 
 def _limit_lease(state: PartitionState, worker: Worker, clock_ms: int) -> None:
--- a/heatherkeel/measure/simulated_fleet.py
+++ b/heatherkeel/measure/simulated_fleet.py
@@ -177,7 +177,7 @@
             case StopTask():
                 self.after(START_MS, lambda: self._end(effect.run, "stopped"))
             case AcknowledgeEnds():
-                effect.worker.acknowledged = effect.worker.told = effect.number
+                effect.worker.last_stored_end = effect.worker.last_acknowledged_end = effect.number
 
     def _start(self, run: Run) -> None:
         if run not in run.task.runs or run.state is not RunState.PLANNED:
--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -195,7 +195,7 @@
     worker = partition.state.workers["w0"]
     assert not worker.runs
     assert not worker.is_empty()
-    worker.told = worker.seen
+    worker.last_acknowledged_end = worker.last_processed_end
     assert worker.is_empty()
 
 
--- a/tests/dispatch/test_restarts.py
+++ b/tests/dispatch/test_restarts.py
@@ -59,10 +59,14 @@
     """Guards against ends that a worker forgets before it has listed them."""
     partition = Partition(workers=1)
     partition.end_run(start_job_on(partition, "w0"))
-    partition.state.workers["w0"].acknowledged = 1
+    partition.state.workers["w0"].last_stored_end = 1
     partition.restart_worker("w0")
     worker = partition.state.workers["w0"]
-    assert (worker.seen, worker.acknowledged, worker.told) == (0, 0, 0)
+    assert (worker.last_processed_end, worker.last_stored_end, worker.last_acknowledged_end) == (
+        0,
+        0,
+        0,
+    )
 
 
 def test_dropped_worker_is_used_again_in_its_next_incarnation() -> None:
@@ -236,7 +240,7 @@
     partition = Partition(workers=1)
     partition.end_run(start_job_on(partition, "w0"))
     worker = partition.state.workers["w0"]
-    worker.acknowledged = worker.seen
+    worker.last_stored_end = worker.last_processed_end
     assert worker.to_acknowledge(partition.now_ms) == 1
     partition.fail_listing("w0")
     assert worker.to_acknowledge(partition.now_ms) == 0
@@ -246,5 +250,5 @@
     assert worker.to_acknowledge(partition.now_ms) == 0
     partition.list_known_runs("w0")
     assert worker.to_acknowledge(partition.now_ms) == 1
-    worker.told = 1
+    worker.last_acknowledged_end = 1
     assert worker.to_acknowledge(partition.now_ms) == 0
--- a/tests/dispatch/test_state_machine.py
+++ b/tests/dispatch/test_state_machine.py
@@ -139,7 +139,7 @@
             case ForgetJob(only_request=True):
                 self.requests.pop(effect.job_id, None)
             case AcknowledgeEnds():
-                effect.worker.acknowledged = max(effect.worker.acknowledged, effect.number)
+                effect.worker.last_stored_end = max(effect.worker.last_stored_end, effect.number)
             case StartTask():
                 self._execute_start(effect, delivery)
             case StopTask():
