--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -96,7 +96,9 @@
 
 
 @handles(IncarnationsListed)
-def take_lives(state: PartitionState, event: IncarnationsListed, effects: Effects) -> None:
+def handle_incarnations_listed(
+    state: PartitionState, event: IncarnationsListed, effects: Effects
+) -> None:
     """End unresponsive workers that the list of machines no longer names.
 
     Their machines have restarted or are down; a worker that is only unreachable is still named.
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -36,7 +36,7 @@
 
 
 @handles(WorkersListed)
-def take_entries(state: PartitionState, event: WorkersListed, effects: Effects) -> None:
+def handle_workers_listed(state: PartitionState, event: WorkersListed, effects: Effects) -> None:
     """Update the workers from their entries; one without an entry may still run tasks."""
     for known in (state.ended_incarnations, state.ignored_entries):
         for worker_id in known.keys() - event.entries.keys():
@@ -74,7 +74,7 @@
 
 
 @handles(WorkerAnswered)
-def take_listing(state: PartitionState, event: WorkerAnswered, effects: Effects) -> None:
+def handle_worker_answered(state: PartitionState, event: WorkerAnswered, effects: Effects) -> None:
     """Update a worker from its listing of running and ended tasks."""
     worker = _find_incarnation(state, event, effects)
     if worker is None:
@@ -233,7 +233,7 @@
 
 
 @handles(WorkerFailed)
-def take_failure(state: PartitionState, event: WorkerFailed, effects: Effects) -> None:
+def handle_worker_failed(state: PartitionState, event: WorkerFailed, effects: Effects) -> None:
     """Handle a call without an answer, or an address that now belongs to another worker."""
     worker = state.workers.get(event.worker_id)
     if worker is None:
@@ -267,7 +267,7 @@
 
 
 @handles(WorkersLeaving)
-def take_leaving(state: PartitionState, event: WorkersLeaving, effects: Effects) -> None:
+def handle_workers_leaving(state: PartitionState, event: WorkersLeaving, effects: Effects) -> None:
     """Start nothing on workers whose machines are about to be removed, and empty them."""
     state.leaving_ms = state.now_ms
     for worker in state.workers.values():
