--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -12,7 +12,7 @@
 """
 SLOWEST_CLOCK: Final = 1.02
 """Factor by which a worker's clock may be slower than the local one, documented by the platform."""
-LAPSE_MARGIN_MS: Final = 500
+LEASE_EXPIRY_MARGIN_MS: Final = 500
 """Added to the end of a lease before its tasks count as ended, in milliseconds: killing a task may
 take as long as stopping it."""
 LIST_WAIT_MS: Final = 1000
--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -8,7 +8,7 @@
 from heatherkeel.platform.callers import JobRequest, StepRequest
 from heatherkeel.platform.operator import WorkerEntry
 
-from .const import LAPSE_MARGIN_MS, MAX_DOUBTFUL_RUNS, MAX_LISTING_AGE_MS, SLOWEST_CLOCK
+from .const import LEASE_EXPIRY_MARGIN_MS, MAX_DOUBTFUL_RUNS, MAX_LISTING_AGE_MS, SLOWEST_CLOCK
 
 
 class JobState(StrEnum):
@@ -388,4 +388,4 @@
         if self.clock_ms is None:
             return now_ms > self.earlier_leases_until_ms
         slowest_clock_ms = self.clock_ms + (now_ms - self.clock_received_ms) / SLOWEST_CLOCK
-        return slowest_clock_ms > self.lease_until_ms + LAPSE_MARGIN_MS
+        return slowest_clock_ms > self.lease_until_ms + LEASE_EXPIRY_MARGIN_MS
