--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -49,7 +49,7 @@
 processor."""
 MAX_MISFITS: Final = 40
 """Steps in a row that don't fit before a placement pass ends, which bounds the work per event."""
-GREY_FAILURES: Final = 3
+QUARANTINE_FAILURES: Final = 3
 """Failed ends in a row, of different jobs, after which a worker is quarantined."""
 GREY_PAUSE_MS: Final = 5000
 """How long a worker stays quarantined, in milliseconds."""
--- a/heatherkeel/dispatch/ends.py
+++ b/heatherkeel/dispatch/ends.py
@@ -7,7 +7,7 @@
 from heatherkeel.platform.workers import EndedTask
 
 from .building import open_dependents
-from .const import GREY_FAILURES
+from .const import QUARANTINE_FAILURES
 from .events import CountGivenUp, CountLoss, Effects, SaveJob
 from .jobs import end_job, save_ended_job, stop_run
 from .models import Job, JobState, LossReason, Run, Task, Worker
@@ -136,7 +136,7 @@
     """
     if job.id not in worker.failed_jobs:
         worker.failed_jobs.append(job.id)
-    if len(worker.failed_jobs) < GREY_FAILURES:
+    if len(worker.failed_jobs) < QUARANTINE_FAILURES:
         return
     if quarantine_worker(state, worker, why="it fails what it starts"):
         worker.failed_jobs.clear()
