--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -51,7 +51,7 @@
 """Steps in a row that don't fit before a placement pass ends, which bounds the work per event."""
 QUARANTINE_FAILURES: Final = 3
 """Failed ends in a row, of different jobs, after which a worker is quarantined."""
-GREY_PAUSE_MS: Final = 5000
+QUARANTINE_MS: Final = 5000
 """How long a worker stays quarantined, in milliseconds."""
 MAX_SET_ASIDE: Final = 0.34
 """Fraction of a pool's workers that may be quarantined at once; beyond it the jobs are the likelier
--- a/heatherkeel/dispatch/standing.py
+++ b/heatherkeel/dispatch/standing.py
@@ -6,8 +6,8 @@
 
 from .const import (
     FEWEST_STANDING,
-    GREY_PAUSE_MS,
     MAX_SET_ASIDE,
+    QUARANTINE_MS,
     STANDING_MS,
 )
 from .events import Effects
@@ -44,14 +44,14 @@
     aside = sum(1 for other in pool.workers.values() if other.quarantined_until_ms > state.now_ms)
     if aside + 1 > MAX_SET_ASIDE * len(pool.workers):
         return False
-    worker.quarantined_until_ms = state.now_ms + GREY_PAUSE_MS
+    worker.quarantined_until_ms = state.now_ms + QUARANTINE_MS
     _LOGGER.warning(
         "worker quarantined",
         extra={
             "event": "worker_aside",
             "worker": worker.id,
             "why": why,
-            "for_ms": GREY_PAUSE_MS,
+            "for_ms": QUARANTINE_MS,
         },
     )
     return True
--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from heatherkeel.dispatch.const import GREY_PAUSE_MS, LEASE_MS, LEAVING_MS, SILENT_MS, STANDING_MS
+from heatherkeel.dispatch.const import LEASE_MS, LEAVING_MS, QUARANTINE_MS, SILENT_MS, STANDING_MS
 from heatherkeel.dispatch.events import IncarnationsListed, Tick
 from heatherkeel.dispatch.models import JobState, Run
 from heatherkeel.platform.errors import Failure
@@ -124,7 +124,7 @@
         partition.end_run(start_job_on(partition, "w0", f"{number:016x}"), "failed")
     assert partition.state.workers["w0"].quarantined_until_ms > partition.now_ms
     assert not partition.state.workers["w0"].runs
-    partition.tick(GREY_PAUSE_MS)
+    partition.tick(QUARANTINE_MS)
     assert partition.state.workers["w0"].accepts_work(partition.now_ms)
 
 
