--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -53,7 +53,7 @@
 """Failed ends in a row, of different jobs, after which a worker is quarantined."""
 QUARANTINE_MS: Final = 5000
 """How long a worker stays quarantined, in milliseconds."""
-MAX_SET_ASIDE: Final = 0.34
+MAX_QUARANTINED_FRACTION: Final = 0.34
 """Fraction of a pool's workers that may be quarantined at once; beyond it the jobs are the likelier
 cause."""
 MAX_SOLE_CRASHES: Final = 2
--- a/heatherkeel/dispatch/standing.py
+++ b/heatherkeel/dispatch/standing.py
@@ -6,7 +6,7 @@
 
 from .const import (
     FEWEST_STANDING,
-    MAX_SET_ASIDE,
+    MAX_QUARANTINED_FRACTION,
     QUARANTINE_MS,
     STANDING_MS,
 )
@@ -42,7 +42,7 @@
     """
     pool = find_pool(state, worker.entry.service)
     aside = sum(1 for other in pool.workers.values() if other.quarantined_until_ms > state.now_ms)
-    if aside + 1 > MAX_SET_ASIDE * len(pool.workers):
+    if aside + 1 > MAX_QUARANTINED_FRACTION * len(pool.workers):
         return False
     worker.quarantined_until_ms = state.now_ms + QUARANTINE_MS
     _LOGGER.warning(
