--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -82,10 +82,10 @@
 the owner's process."""
 MAX_APPEND_RECORDS: Final = 400
 """Maximum number of records in one append, well below the store's limit in bytes."""
-LIVES_INTERVAL_MS: Final = 600
+MACHINE_LIST_INTERVAL_MS: Final = 600
 """Interval between readings of the list of machines while a worker with tasks is unresponsive, in
 milliseconds. The list shows a crash seconds before the worker's lease expires."""
-SILENT_MS: Final = 1200
+MIN_UNRESPONSIVE_MS: Final = 1200
 """How long a worker must have been unresponsive before the list of machines is trusted about it, in
 milliseconds: the list is up to 800 ms old, so it may lack a worker that has just started."""
 LEAVING_MS: Final = 2000
@@ -101,7 +101,7 @@
 """How long a read of new jobs waits, in milliseconds; must stay below the limit above."""
 ARRIVAL_WINDOW_MS: Final = 800
 """Window over which the arrival rate is measured, in milliseconds."""
-UNHEARD_MS: Final = 600
+CAPACITY_GRACE_MS: Final = 600
 """How long a worker must have been unresponsive before its capacity no longer counts, in
 milliseconds; a worker with one lost answer responds again before that."""
 MAX_NEEDS: Final = 4
@@ -109,7 +109,7 @@
 LASTING_SHARE: Final = 0.5
 """Fraction of a step's long-running tasks that may be on one worker. Spread over more workers they
 would keep more machines from being moved."""
-STANDING_MS: Final = 1200
+STALLED_MS: Final = 1200
 """Time without progress after which a task is stalled, in milliseconds."""
 FEWEST_STANDING: Final = 2
 """Minimum number of stalled tasks for a worker to count as stalled; all of its tasks must be."""
