--- a/heatherkeel/waves/acknowledgements.py
+++ b/heatherkeel/waves/acknowledgements.py
@@ -1,15 +1,14 @@
-"""Decides when nobody can send to a draining instance any more.
+"""Decides when no entry instance can send requests to a draining instance.
 
-Who is waited for: every incarnation of an entry instance that may still run when the drain
-starts. An entry instance that joins later has folded the drain before it may route, so it is
-never added; its earlier incarnation stays waited for, since a new process says nothing about
-the old one. Each wait ends in one of three ways, and silence alone is none of them:
+A drain waits for every incarnation of an entry instance that may be running when it starts. An
+incarnation that joins later has folded the drain before it may route, so it is never added, but
+it doesn't replace the wait for an earlier incarnation. Each wait ends in one of three ways:
 
 * the incarnation acknowledges, or leaves;
-* the platform positively says that it is terminated;
-* it stands in another availability zone and its routing lease ran out, with the longest request
-  deadline on top. By its own clock it has stopped sending across zones before that. In the
-  instance's own zone it goes on serving while it is cut off, so there no lease ends the wait.
+* the platform reports that it is terminated;
+* it is in another availability zone, and its routing lease plus the longest request deadline has
+  expired. It stops sending to other zones before that by its own clock. In its own zone it keeps
+  serving while it is cut off, so an expired lease doesn't end the wait there.
 """
 
 from __future__ import annotations
@@ -30,7 +29,7 @@
 
 @handles("waves.drain_ack", DrainAck)
 def acknowledge(state: FleetState, meta: RecordMeta, body: DrainAck) -> Result[Accepted, Rejected]:
-    """Take the acknowledgements that match a drain under way; older ones count for nothing."""
+    """Apply the acknowledgements that match a drain in progress; ignore those of older drains."""
     acknowledged = [
         DrainAcknowledged(
             instance=item.instance,
@@ -39,22 +38,22 @@
             offset=meta.offset,
         )
         for item in body.instances
-        if _is_waited_for(state, body, instance_id=item.instance, drain_id=item.drain)
+        if _matches_drain(state, body, instance_id=item.instance, drain_id=item.drain)
     ]
     if not acknowledged:
-        return Err(Rejected(reason=RejectReason.NOT_FOUND, detail="no such drain waits"))
+        return Err(Rejected(reason=RejectReason.NOT_FOUND, detail="no matching drain is waiting"))
     effects: list[Effect] = []
     for item in acknowledged:
         state.waves.drains[item.instance].waiting.pop(body.incarnation, None)
-        effects += [item, *_quiesce_if_free(state, item.instance, meta.offset)]
+        effects += [item, *_quiesce_if_no_waits(state, item.instance, meta.offset)]
     return Ok(Accepted(effects=tuple(effects)))
 
 
-def _is_waited_for(state: FleetState, body: DrainAck, *, instance_id: str, drain_id: str) -> bool:
-    """Tell whether this acknowledgement belongs to the drain under way.
+def _matches_drain(state: FleetState, body: DrainAck, *, instance_id: str, drain_id: str) -> bool:
+    """Return whether this acknowledgement belongs to the drain in progress.
 
-    A late acknowledgement of an earlier drain says nothing about now: its author may have been
-    sending again in between. Hence the drain's id, which no two drains share.
+    The drain's id rules out a late acknowledgement of an earlier drain, whose author may have
+    sent requests again in between.
     """
     drain = state.waves.drains.get(instance_id)
     if drain is None or drain.id != drain_id:
@@ -62,57 +61,59 @@
     return drain.waiting.get(body.incarnation) == body.entry
 
 
-def lapse_grace_ms(state: FleetState, pool: str) -> int:
+def longest_deadline_ms(state: FleetState, pool: str) -> int:
     """Return the longest time that a request to the pool may be in progress."""
     deadlines = [service.limits.deadline_ms for _, service in services_of(state, pool)]
     return max(deadlines, default=0)
 
 
 def start_waiting(state: FleetState, instance_id: str, offset: int) -> list[Effect]:
-    """Note who has to acknowledge a drain; nobody may be left, then it is quiesced at once."""
+    """Record which incarnations have to acknowledge a drain; quiesce at once if there are none."""
     drain = state.waves.drains[instance_id]
     instance = state.pools.instances[instance_id]
     for entry in all_incarnations(state.membership):
-        if not _has_lapsed(state, instance, drain, entry):
+        if not _wait_has_expired(state, instance, drain, entry):
             drain.waiting[entry.incarnation] = entry.instance
-    _plan_recheck(state)
-    return _quiesce_if_free(state, instance_id, offset)
+    _schedule_recheck(state)
+    return _quiesce_if_no_waits(state, instance_id, offset)
 
 
-def _has_lapsed(state: FleetState, instance: Instance, drain: Drain, entry: EntryInstance) -> bool:
-    return entry.zone != instance.zone and _lapse_ms(drain, entry) <= state.now_ms
+def _wait_has_expired(
+    state: FleetState, instance: Instance, drain: Drain, entry: EntryInstance
+) -> bool:
+    return entry.zone != instance.zone and _wait_expires_ms(drain, entry) <= state.now_ms
 
 
-def _lapse_ms(drain: Drain, entry: EntryInstance) -> int:
+def _wait_expires_ms(drain: Drain, entry: EntryInstance) -> int:
     return entry.lease_until_ms + drain.lapse_grace_ms
 
 
 @follows_up
 def recheck_waits(state: FleetState, offset: int) -> list[Effect]:
-    """End the waits for incarnations that are gone, or whose leases ran out by this record."""
+    """End the waits for incarnations that are gone or whose leases have expired."""
     waves = state.waves
-    lapse_due = 0 < waves.recheck_ms <= state.now_ms
-    if not lapse_due and waves.checked_departure == state.membership.departed_offset:
+    expiry_due = 0 < waves.recheck_ms <= state.now_ms
+    if not expiry_due and waves.checked_departure == state.membership.departed_offset:
         return []
     waves.checked_departure = state.membership.departed_offset
     effects: list[Effect] = []
     for instance_id in sorted(waves.drains):
-        _drop_unneeded(state, instance_id)
-        effects += _quiesce_if_free(state, instance_id, offset)
-    _plan_recheck(state)
+        _end_obsolete_waits(state, instance_id)
+        effects += _quiesce_if_no_waits(state, instance_id, offset)
+    _schedule_recheck(state)
     return effects
 
 
-def _drop_unneeded(state: FleetState, instance_id: str) -> None:
+def _end_obsolete_waits(state: FleetState, instance_id: str) -> None:
     drain = state.waves.drains[instance_id]
     instance = state.pools.instances[instance_id]
     for incarnation in list(drain.waiting):
         entry = find_incarnation(state.membership, incarnation)
-        if entry is None or _has_lapsed(state, instance, drain, entry):
+        if entry is None or _wait_has_expired(state, instance, drain, entry):
             del drain.waiting[incarnation]
 
 
-def _quiesce_if_free(state: FleetState, instance_id: str, offset: int) -> list[Effect]:
+def _quiesce_if_no_waits(state: FleetState, instance_id: str, offset: int) -> list[Effect]:
     drain = state.waves.drains[instance_id]
     instance = state.pools.instances[instance_id]
     if drain.waiting or instance.status is not InstanceStatus.DRAINING:
@@ -130,13 +131,13 @@
     return [InstanceChanged(instance=instance_id, offset=offset), permitted]
 
 
-def _plan_recheck(state: FleetState) -> None:
-    """Note the first log time at which a lease can end a wait.
+def _schedule_recheck(state: FleetState) -> None:
+    """Record the first log time at which an expired lease can end a wait.
 
-    Renewals make it too early, never too late: a recheck then only plans the next one.
+    After a renewal this time is too early, never too late: the recheck then schedules the next.
     """
     times = [
-        _lapse_ms(drain, entry)
+        _wait_expires_ms(drain, entry)
         for instance_id, drain in state.waves.drains.items()
         for incarnation in drain.waiting
         if (entry := find_incarnation(state.membership, incarnation)) is not None
--- a/heatherkeel/waves/budget.py
+++ b/heatherkeel/waves/budget.py
@@ -1,4 +1,4 @@
-"""Decides whether a pool can do without one more instance."""
+"""Checks whether the budgets of a pool hold without one more instance."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from heatherkeel.pools.models import Instance, InstanceStatus
 
 Rack = tuple[str, str]
-"""Availability zone and rack: rack names are unique within an availability zone only."""
+"""Availability zone and rack; rack names are unique only within an availability zone."""
 
 
 def rack_of(instance: Instance) -> Rack:
@@ -21,8 +21,8 @@
 
 
 def services_of(state: FleetState, pool: str) -> Iterator[tuple[str, ServiceEntry]]:
-    """Yield the services on a pool with their names, by name."""
-    # Found first and sorted then: the catalogue holds hundreds of entries, a pool a few services.
+    """Yield the services of a pool with their names, sorted by name."""
+    # Sorted after filtering, since the catalogue is much larger than the services of one pool.
     found = {
         name: stored.entry
         for name, stored in state.catalogue.entries.items()
@@ -34,20 +34,20 @@
 
 @dataclass(kw_only=True)
 class Headroom:
-    """The serving instances of a pool, counted by rack and availability zone."""
+    """Number of serving instances of a pool, by rack and availability zone."""
 
     racks: Counter[Rack] = field(default_factory=Counter)
     zones: Counter[str] = field(default_factory=Counter)
     total: int = 0
 
     def add(self, rack: Rack, count: int = 1) -> None:
-        """Count instances of a rack in, or out if `count` is below 0."""
+        """Add instances of a rack, or remove them if `count` is negative."""
         self.racks[rack] += count
         self.zones[rack[0]] += count
         self.total += count
 
     def worst_loss(self, reserve: Reserve) -> int:
-        """Return how many instances the named loss would take at worst."""
+        """Return how many instances the largest failure domain of the reserve holds."""
         match reserve:
             case Reserve.NONE:
                 return 0
@@ -57,7 +57,7 @@
                 return max(self.zones.values(), default=0)
 
     def margin(self, services: Iterable[ServiceEntry]) -> int:
-        """Return how many more instances the budgets could do without; below 0: broken."""
+        """Return how many more instances can be drained; negative if a budget is violated."""
         margins = [
             self.total - self.worst_loss(service.budget.reserve) - service.budget.min_serving
             for service in services
@@ -65,15 +65,15 @@
         return min(margins, default=self.total)
 
     def margin_without(self, rack: Rack, services: Iterable[ServiceEntry]) -> int:
-        """Return the margin that would be left without one more instance of a rack."""
+        """Return the margin without one more instance of a rack."""
         self.add(rack, -1)
-        left = self.margin(services)
+        margin = self.margin(services)
         self.add(rack, 1)
-        return left
+        return margin
 
 
 def count_serving(instances: Iterable[Instance]) -> Headroom:
-    """Count those of the instances that serve."""
+    """Count the serving instances."""
     headroom = Headroom()
     for instance in instances:
         if instance.status is InstanceStatus.SERVING:
@@ -82,11 +82,10 @@
 
 
 def check_budgets(state: FleetState, pool: str, *, without: str = "") -> Rejected | None:
-    """Refuse if a budget on the pool would not hold without the instance.
+    """Refuse if a budget of the pool would not hold without the instance.
 
-    Each stop alone can look harmless while another one, or a failed rack, has already taken
-    the room; callers then find too few instances. Counting here, where all readers see the
-    same state, leaves room for the named loss to come on top of every stop that is admitted.
+    Counting in the fold includes all concurrent stops and failures, so an accepted stop always
+    leaves enough capacity for the loss of the reserved failure domain.
     """
     headroom = count_serving(
         instance
--- a/heatherkeel/waves/coordinator.py
+++ b/heatherkeel/waves/coordinator.py
@@ -1,7 +1,7 @@
-"""Proposes the next step of each drain under way, from the state alone.
+"""Proposes the next step of each drain in progress, from the folded state alone.
 
-A coordinator can die between any two steps. The next one needs nothing from it: whatever has
-to be done stands in the state, and the instance's version lets each step in only once.
+Any coordinator can take over after another one fails. The version check of the instance makes
+sure that each step is accepted only once.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 def next_steps(fleet: FleetState, now_ms: int, *, coordinator: str) -> list[Step]:
-    """Return the records to propose now for the drains under way, by instance id.
+    """Return the records to propose now for the drains in progress, sorted by instance id.
 
-    `now_ms` is the reader's estimate of log time. Returns are not among them: those come from
-    whoever reads the platform's list.
+    `now_ms` is the reader's estimate of log time. `Returned` is not among the records: it is
+    proposed by the process that reads the platform's list.
     """
     steps = [
         _next_step(fleet, now_ms, instance_id, coordinator) for instance_id in fleet.waves.drains
@@ -34,8 +34,8 @@
     instance = fleet.pools.instances[instance_id]
     drain = fleet.waves.drains[instance_id]
     if instance.status is InstanceStatus.STOPPED:
-        return _give_up(instance_id, instance, drain, now_ms)
-    reason = _why_cancel(fleet, now_ms, instance_id)
+        return _check_return_timeout(instance_id, instance, drain, now_ms)
+    reason = _cancel_reason(fleet, now_ms, instance_id)
     if reason:
         return DrainCancel(
             instance=instance_id,
@@ -51,7 +51,7 @@
     return step(instance=instance_id, expected_version=instance.version, coordinator=coordinator)
 
 
-def _give_up(
+def _check_return_timeout(
     instance_id: str, instance: Instance, drain: Drain, now_ms: int
 ) -> ReturnFailed | None:
     if now_ms < drain.return_by_ms:
@@ -63,11 +63,11 @@
     )
 
 
-def _why_cancel(fleet: FleetState, now_ms: int, instance_id: str) -> str:
-    """Return why an instance that isn't stopped yet should go back into service, if it should.
+def _cancel_reason(fleet: FleetState, now_ms: int, instance_id: str) -> str:
+    """Return why the drain of an instance should be cancelled; empty if it shouldn't.
 
-    Since its drain started, a rack may have failed, the wave halted, the counter opened, or an
-    entry instance of its zone fallen silent. Held back, it would serve nobody.
+    The rules may no longer allow a stop, or an entry instance may not acknowledge in time. The
+    instance would then stay out of service without being maintained.
     """
     instance = fleet.pools.instances[instance_id]
     drain = fleet.waves.drains[instance_id]
@@ -82,7 +82,7 @@
 
 
 def explain_wait(drain: Drain) -> str:
-    """Return in words whom a drain waits for; empty if for nobody."""
+    """Describe which entry instances have yet to acknowledge a drain; empty if none."""
     if not drain.waiting:
         return ""
     return f"not acknowledged by {', '.join(sorted(set(drain.waiting.values())))}"
--- a/heatherkeel/waves/explain.py
+++ b/heatherkeel/waves/explain.py
@@ -1,4 +1,4 @@
-"""Tells operators in words why nothing more of a pool is drained."""
+"""Explains to operators why no further instance of a pool is drained."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from .budget import check_budgets
 from .coordinator import explain_wait
-from .policy import closes_soon, silent_zones, view_pool
+from .policy import closes_soon, unresponsive_zones, view_pool
 from .wave import find_maintenance, is_closed, is_halted
 
 
 def explain_pool(fleet: FleetState, pool: str, now_ms: int) -> list[str]:
-    """Return each reason, the most lasting first; empty if a drain can start now.
+    """Return the reasons, the longest-lasting first; empty if a drain can start now.
 
     `now_ms` is the reader's estimate of log time.
     """
@@ -28,12 +28,14 @@
     members = {key: value for key, value in fleet.pools.instances.items() if value.pool == pool}
     view = view_pool(fleet, maintenance.entry, members, now_ms)
     reasons = _explain_waits(fleet, pool)
-    if view.room() <= 0:
-        return [*reasons, f"max_concurrent: {view.under_way()} drains are under way"]
+    if view.free_slots() <= 0:
+        return [*reasons, f"max_concurrent: {view.active_drains()} drains are under way"]
     reasons += [
         f"availability zone {zone} has an entry instance that is silent, or was replaced and is "
         "not known to be terminated"
-        for zone in sorted(silent_zones(fleet, now_ms) & {item.zone for item in members.values()})
+        for zone in sorted(
+            unresponsive_zones(fleet, now_ms) & {item.zone for item in members.values()}
+        )
     ]
     if not view.candidates:
         return reasons or ["nothing is due"]
--- a/heatherkeel/waves/models.py
+++ b/heatherkeel/waves/models.py
@@ -1,4 +1,4 @@
-"""Records about drains and waves, and the subject's folded state."""
+"""Records about drains and waves, and their folded state."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 
 
 class ReturnFailure(StrEnum):
-    """How it is known that a stopped instance doesn't come back."""
+    """Why a stopped instance is considered failed."""
 
     TIMED_OUT = "timed_out"
-    """It had `return_timeout_s` and did not appear; the fold checks the time."""
+    """It didn't return within `return_timeout_s`; the fold checks the time."""
     START_FAILED = "start_failed"
-    """The platform says that its start failed."""
+    """The platform reported that its start failed."""
 
 
 class DrainStart(RecordBody, frozen=True, kw_only=True):
     """Take an instance out of service; the id of this record becomes the drain's id.
 
-    `wave` is the number of the pool's wave that this drain belongs to, for maintenance only.
-    `to_pool` is where a move ends.
+    `wave` is the number of the pool's wave that a maintenance drain belongs to. `to_pool` is the
+    destination of a move.
     """
 
     instance: InstanceId
@@ -58,7 +58,7 @@
 
 
 class DrainAck(RecordBody, frozen=True, kw_only=True):
-    """An entry instance has stopped sending to these, and nothing of its own is in progress."""
+    """An entry instance sends no more requests to these instances and has none in progress."""
 
     entry: EntryInstanceId
     incarnation: str
@@ -66,9 +66,10 @@
 
 
 class StopIssued(RecordBody, frozen=True, kw_only=True):
-    """A coordinator claims the stop of a quiesced instance; it stops it after the read-back.
+    """A coordinator announces the stop of a quiesced instance, and stops it once this is settled.
 
-    `boot_id` is the boot that it found running, empty if that is the one in the state.
+    `boot_id` is the boot that the coordinator found running, empty if it equals the one in the
+    state.
     """
 
     instance: InstanceId
@@ -78,7 +79,7 @@
 
 
 class Returned(RecordBody, frozen=True, kw_only=True):
-    """The platform shows the instance running with a boot that it didn't have before."""
+    """The platform lists the instance as running with a new boot id."""
 
     instance: InstanceId
     expected_version: Version
@@ -94,7 +95,7 @@
 
 
 class DrainCancel(RecordBody, frozen=True, kw_only=True):
-    """Put an instance that was not stopped yet back to what it was before its drain."""
+    """Restore the status from before the drain of an instance that isn't stopped yet."""
 
     instance: InstanceId
     expected_version: Version
@@ -103,7 +104,7 @@
 
 
 class MoveJoin(RecordBody, frozen=True, kw_only=True):
-    """Put a quiesced instance into the pool that its move names."""
+    """Assign a quiesced instance to the destination pool of its move."""
 
     instance: InstanceId
     expected_version: Version
@@ -112,9 +113,9 @@
 
 @dataclass(kw_only=True)
 class Drain:
-    """A planned stop or move under way; times in log milliseconds.
+    """A planned stop or move in progress; times in log milliseconds.
 
-    `waiting` are the incarnations that have yet to acknowledge, with their entry instance ids.
+    `waiting` maps each incarnation that has yet to acknowledge to its entry instance id.
     """
 
     id: str
@@ -122,7 +123,7 @@
     coordinator: str
     started_ms: int
     lapse_grace_ms: int
-    """How long after a lapsed lease a request that was sent before may be in progress."""
+    """How long a request that was sent under a lease may be in progress after its expiry."""
     was_failed: bool = False
     to_pool: str = ""
     waiting: dict[str, str] = field(default_factory=dict)
@@ -134,21 +135,21 @@
 class Wave:
     """The newest maintenance wave of one pool; times in log milliseconds.
 
-    It covers each instance that was last maintained before `started_offset`. A halted wave goes on
-    when an operator has edited the pool's MaintenanceEntry after `halted_offset`.
+    It covers each instance that was last maintained before `started_offset`. A halted wave resumes
+    when an operator edits the pool's MaintenanceEntry after `halted_offset`.
     """
 
     number: int
     started_ms: int
     started_offset: int
     request: int = 0
-    """`MaintenanceEntry.wave_request` when the wave opened: up to it, requests are met."""
+    """`MaintenanceEntry.wave_request` when the wave started; a higher value requests a new one."""
     drained: int = 0
     returned: int = 0
     failed: int = 0
     finished_ms: int = 0
     failed_since_offset: int = -1
-    """Offset of the MaintenanceEntry edit that `failed` is counted from."""
+    """Offset of the MaintenanceEntry edit after which `failed` is counted."""
     halted_offset: int = -1
     halted_reason: str = ""
 
@@ -160,9 +161,9 @@
     drains: dict[str, Drain] = field(default_factory=dict)
     waves: dict[str, Wave] = field(default_factory=dict)
     recheck_ms: int = 0
-    """Next log time at which a lapsed lease may end a wait; 0 if none can."""
+    """Next log time at which an expired lease may end a wait; 0 if none can."""
     checked_departure: int = -1
-    """`MembershipState.departed_offset` when the waits were last looked at."""
+    """`MembershipState.departed_offset` when the waits were last checked."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -177,7 +178,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StopPermitted(Effect):
-    """Nobody can send to the instance any more: it may be stopped, or joined to `to_pool`."""
+    """No requests can reach the instance: it may be stopped, or moved to `to_pool`."""
 
     instance: str
     drain: str
@@ -190,7 +191,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WaveHalted(Effect):
-    """A wave stopped because too many instances did not come back."""
+    """A wave was halted because too many instances did not come back."""
 
     pool: str
     wave: int
--- a/heatherkeel/waves/policies.py
+++ b/heatherkeel/waves/policies.py
@@ -1,4 +1,4 @@
-"""The policies: ours, and the baselines that it is measured against."""
+"""The production policy, and the baselines that it is compared with."""
 
 from __future__ import annotations
 
@@ -13,17 +13,16 @@
 
 @policy(DEFAULT_POLICY)
 def choose_spread(view: PoolView) -> str | None:
-    """Choose overdue instances first, then so that most drains fit side by side.
+    """Choose overdue instances first, then maximise the number of concurrent drains.
 
-    What a budget holds in reserve is its largest rack or availability zone. A drain there makes
-    that loss smaller, which leaves room for a drain elsewhere. Those helpful drains are paired
-    with ones that need the help: spent on each other, the last rounds would have none left.
-    Among equals the availability zone with the fewest drains is next, so that each zone keeps
-    targets for its own callers.
+    A budget reserves capacity for the loss of its largest rack or availability zone. A drain
+    there lowers the reserve, which allows another drain elsewhere. Such drains are paired with
+    drains that need the lower reserve, so that some remain for the last rounds. On ties the
+    availability zone with the fewest drains is next, so that each zone keeps local targets.
     """
     racks = Counter(rack_of(instance) for instance in view.candidates.values())
     margins = {rack: view.margin_without(rack) for rack in racks}
-    reach = _reach_of_racks(view, racks, [rack for rack in racks if margins[rack] >= 0])
+    concurrency = _concurrency_by_rack(view, racks, [rack for rack in racks if margins[rack] >= 0])
     overdue_before_ms = view.now_ms - view.maintenance.period_h * HOUR_MS
 
     def rank(item: tuple[str, Instance]) -> tuple[bool, int, int, int, int, int, str]:
@@ -32,66 +31,66 @@
         age = instance.maintained_ms
         is_early = age > overdue_before_ms
         in_zone = view.draining[instance.zone]
-        return is_early, -reach[rack], in_zone, margins[rack], -racks[rack], age, instance_id
+        return is_early, -concurrency[rack], in_zone, margins[rack], -racks[rack], age, instance_id
 
-    fitting = [item for item in view.candidates.items() if rack_of(item[1]) in reach]
+    fitting = [item for item in view.candidates.items() if rack_of(item[1]) in concurrency]
     return min(fitting, key=rank)[0] if fitting else None
 
 
-def _reach_of_racks(
-    view: PoolView, candidates: Counter[Rack], firsts: list[Rack]
+def _concurrency_by_rack(
+    view: PoolView, candidates: Counter[Rack], first_racks: list[Rack]
 ) -> dict[Rack, int]:
-    """Return how many drains fit side by side if one in each rack were the first.
+    """Return for each rack how many drains can run concurrently if one in it starts first.
 
-    Racks of the same size in availability zones of the same size are alike; one is counted.
+    Racks that are equal in size, zone size and candidates have the same result, computed once.
     """
-    reach_of_kind: dict[tuple[int, int, int], int] = {}
-    reach: dict[Rack, int] = {}
-    for rack in firsts:
+    concurrency_of_kind: dict[tuple[int, int, int], int] = {}
+    concurrency: dict[Rack, int] = {}
+    for rack in first_racks:
         kind = (view.serving.racks[rack], view.serving.zones[rack[0]], candidates[rack])
-        if kind not in reach_of_kind:
-            reach_of_kind[kind] = _reach(view, candidates, rack)
-        reach[rack] = reach_of_kind[kind]
-    return reach
+        if kind not in concurrency_of_kind:
+            concurrency_of_kind[kind] = _count_concurrent(view, candidates, rack)
+        concurrency[rack] = concurrency_of_kind[kind]
+    return concurrency
 
 
-def _reach(view: PoolView, candidates: Counter[Rack], first: Rack) -> int:
-    """Count the drains that fit side by side if one in rack `first` starts now."""
+def _count_concurrent(view: PoolView, candidates: Counter[Rack], first: Rack) -> int:
+    """Count the drains that can run concurrently if one in rack `first` starts now."""
     left = candidates.copy()
     taken = [first]
-    _take(view, left, first)
-    while len(taken) < view.room():
+    _remove_one(view, left, first)
+    while len(taken) < view.free_slots():
         margins = [(view.margin_without(rack), rack) for rack in left if left[rack] > 0]
         best, rack = max(margins, default=(-1, first))
         if best < 0:
             break
         taken.append(rack)
-        _take(view, left, rack)
+        _remove_one(view, left, rack)
     for rack in taken:
         view.serving.add(rack, 1)
     return len(taken)
 
 
-def _take(view: PoolView, left: Counter[Rack], rack: Rack) -> None:
+def _remove_one(view: PoolView, left: Counter[Rack], rack: Rack) -> None:
     left[rack] -= 1
     view.serving.add(rack, -1)
 
 
 @policy("largest_rack_first")
 def choose_largest_rack_first(view: PoolView) -> str | None:
-    """Choose whoever leaves the largest margin: our first version, without the pairing."""
+    """Choose the instance that leaves the largest margin, without pairing drains."""
     margins = {key: view.margin_without(rack_of(value)) for key, value in view.candidates.items()}
     return min(margins, key=lambda instance_id: (-margins[instance_id], instance_id))
 
 
 @policy("one_at_a_time")
 def choose_one(view: PoolView) -> str | None:
-    """Choose by name, one instance at a time: the simplest baseline."""
-    return None if view.under_way() else min(view.candidates)
+    """Choose by id, one instance at a time."""
+    return None if view.active_drains() else min(view.candidates)
 
 
 @policy("fixed_share")
 def choose_fixed_share(view: PoolView) -> str | None:
-    """Choose by name, a fixed share of the pool at a time."""
-    share = max(1, view.size // FIXED_SHARE_DIVISOR)
-    return None if view.under_way() >= share else min(view.candidates)
+    """Choose by id, a fixed fraction of the pool at a time."""
+    limit = max(1, view.size // FIXED_SHARE_DIVISOR)
+    return None if view.active_drains() >= limit else min(view.candidates)
--- a/heatherkeel/waves/policy.py
+++ b/heatherkeel/waves/policy.py
@@ -1,8 +1,7 @@
-"""Chooses whom to drain next. It only proposes: the fold decides.
+"""Proposes the next drains; the fold decides.
 
-Pure: the same state and time give the same plan, so coordinators that race propose the same
-drains and the fold takes one of each. Policies are registered by name, so that production and
-the baselines that it is measured against run through the same code.
+The plan depends only on state and time, so concurrent coordinators propose the same drains.
+Policies are registered by name, so that the baselines run through the same code as production.
 """
 
 from __future__ import annotations
@@ -25,9 +24,9 @@
 from .wave import (
     is_closed,
     is_complete_for,
-    is_covered,
     is_halted,
     maintenance_of_pools,
+    needs_maintenance,
     next_number,
 )
 
@@ -36,7 +35,7 @@
 
 @dataclass(kw_only=True)
 class PoolView:
-    """One pool while its drains are chosen; a chosen instance leaves `serving` at once."""
+    """State of one pool during planning; a chosen instance is removed from `serving` at once."""
 
     maintenance: MaintenanceEntry
     services: list[ServiceEntry]
@@ -44,23 +43,23 @@
     serving: Headroom
     candidates: Members
     draining: Counter[str]
-    """Planned drains under way, by availability zone."""
+    """Number of planned drains in progress, by availability zone."""
     now_ms: int
 
-    def under_way(self) -> int:
-        """Return how many planned drains are under way."""
+    def active_drains(self) -> int:
+        """Return the number of planned drains in progress."""
         return self.draining.total()
 
-    def room(self) -> int:
-        """Return how many more drains may be under way side by side."""
-        return self.maintenance.max_concurrent - self.under_way()
+    def free_slots(self) -> int:
+        """Return how many more drains may run concurrently."""
+        return self.maintenance.max_concurrent - self.active_drains()
 
     def margin_without(self, rack: Rack) -> int:
-        """Return the least margin of the pool's budgets without one more instance of a rack."""
+        """Return the smallest margin of the pool's budgets without one more instance of a rack."""
         return self.serving.margin_without(rack, self.services)
 
-    def take(self, instance_id: str) -> None:
-        """Count an instance as drained."""
+    def mark_drained(self, instance_id: str) -> None:
+        """Mark an instance as drained."""
         instance = self.candidates.pop(instance_id)
         self.serving.add(rack_of(instance), -1)
         self.draining[instance.zone] += 1
@@ -71,7 +70,7 @@
 
 
 def policy(name: str) -> Callable[[Policy], Policy]:
-    """Register a policy: it names the next instance to drain, or none for now."""
+    """Register a policy, which returns the next instance to drain, or None for now."""
 
     def register(choose: Policy) -> Policy:
         if name in POLICIES:
@@ -87,11 +86,11 @@
 ) -> list[DrainStart]:
     """Return the drains to propose now: repairs, then maintenance, then moves.
 
-    `now_ms` is the reader's estimate of log time. At most about `MAX_DRAINS_PER_PLAN` are
-    returned, so that one call stays short; the rest comes with the next call.
+    `now_ms` is the reader's estimate of log time. After `MAX_DRAINS_PER_PLAN` drains no further
+    pool is planned, which bounds the duration of one call.
     """
     drains = plan_repairs(fleet, coordinator=coordinator)
-    members = _members_of_pools(fleet)
+    members = _instances_by_pool(fleet)
     for pool, maintenance in maintenance_of_pools(fleet).items():
         if len(drains) >= MAX_DRAINS_PER_PLAN:
             return drains
@@ -101,10 +100,10 @@
             continue
         view = view_pool(fleet, maintenance.entry, members.get(pool, {}), now_ms)
         drains += _plan_pool(fleet, view, coordinator, POLICIES[policy_name])
-    return drains + plan_moves(fleet, coordinator=coordinator, taken=drains)
+    return drains + plan_moves(fleet, coordinator=coordinator, planned=drains)
 
 
-def _members_of_pools(fleet: FleetState) -> dict[str, Members]:
+def _instances_by_pool(fleet: FleetState) -> dict[str, Members]:
     members: dict[str, Members] = {}
     for instance_id, instance in fleet.pools.instances.items():
         members.setdefault(instance.pool, {})[instance_id] = instance
@@ -112,7 +111,7 @@
 
 
 def closes_soon(maintenance: MaintenanceEntry, now_ms: int) -> bool:
-    """Tell whether a stop that starts now could reach into counter hours."""
+    """Return whether a stop that starts now could extend into counter hours."""
     latest_return_ms = now_ms + maintenance.return_timeout_s * 1000
     return is_closed(maintenance, now_ms) or is_closed(maintenance, latest_return_ms)
 
@@ -124,7 +123,7 @@
         return []
     number = next_number(fleet, view.maintenance.pool)
     drains: list[DrainStart] = []
-    while view.candidates and view.room() > 0:
+    while view.candidates and view.free_slots() > 0:
         chosen = choose(view)
         if chosen is None or view.margin_without(rack_of(view.candidates[chosen])) < 0:
             break
@@ -136,14 +135,14 @@
             wave=number,
         )
         drains.append(drain)
-        view.take(chosen)
+        view.mark_drained(chosen)
     return drains
 
 
 def view_pool(
     fleet: FleetState, maintenance: MaintenanceEntry, members: Members, now_ms: int
 ) -> PoolView:
-    """Return what a policy chooses from."""
+    """Return the view of a pool that a policy chooses from."""
     drains = fleet.waves.drains
     draining = Counter(
         instance.zone
@@ -166,33 +165,37 @@
 def _candidates(
     fleet: FleetState, maintenance: MaintenanceEntry, members: Members, now_ms: int
 ) -> Members:
-    """Return whom the pool's wave still has to maintain, if one is open or due.
+    """Return the instances that the pool's wave still has to maintain, if one is open or due.
 
-    A drain in an availability zone with a silent entry instance can't end before that one is
-    back or gone. Starting it would only take capacity away, so such zones come later.
+    Availability zones with an unresponsive entry instance are left out: a drain there can't end
+    before that entry instance is back or gone, and would only reduce capacity.
     """
     serving = {
         key: value for key, value in members.items() if value.status is InstanceStatus.SERVING
     }
     wave = fleet.waves.waves.get(maintenance.pool)
     if wave is not None and not is_complete_for(fleet, wave, members.items()):
-        serving = {key: value for key, value in serving.items() if is_covered(value, wave)}
+        serving = {key: value for key, value in serving.items() if needs_maintenance(value, wave)}
     elif not _is_due(maintenance, 0 if wave is None else wave.request, serving, now_ms):
         return {}
-    silent = silent_zones(fleet, now_ms) if serving else set()
-    return {key: value for key, value in serving.items() if value.zone not in silent}
+    unresponsive = unresponsive_zones(fleet, now_ms) if serving else set()
+    return {key: value for key, value in serving.items() if value.zone not in unresponsive}
 
 
-def silent_zones(fleet: FleetState, now_ms: int) -> set[str]:
-    """Return the availability zones in which a drain can't end now."""
+def unresponsive_zones(fleet: FleetState, now_ms: int) -> set[str]:
+    """Return the availability zones in which a drain can't end at present."""
     membership = fleet.membership
-    lapsed = {entry.zone for entry in membership.entries.values() if entry.lease_until_ms <= now_ms}
-    return lapsed | {entry.zone for entry in membership.superseded.values()}
+    expired = {
+        entry.zone for entry in membership.entries.values() if entry.lease_until_ms <= now_ms
+    }
+    return expired | {entry.zone for entry in membership.superseded.values()}
 
 
-def _is_due(maintenance: MaintenanceEntry, met_request: int, serving: Members, now_ms: int) -> bool:
-    """Tell whether a new wave should open, early enough to end when the period does."""
-    if maintenance.wave_request > met_request:
+def _is_due(
+    maintenance: MaintenanceEntry, started_request: int, serving: Members, now_ms: int
+) -> bool:
+    """Return whether a new wave should start, early enough to finish within the period."""
+    if maintenance.wave_request > started_request:
         return True
     period_ms = maintenance.period_h * HOUR_MS
     longest_wave_ms = len(serving) * maintenance.return_timeout_s * 1000
--- a/heatherkeel/waves/reducer.py
+++ b/heatherkeel/waves/reducer.py
@@ -1,4 +1,4 @@
-"""Decides planned stops and moves: who is drained, stopped, and back."""
+"""Handlers of the records that drain, stop, return and move instances."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from heatherkeel.pools.reducer import accept_change
 
 from . import wave
-from .acknowledgements import lapse_grace_ms, start_waiting
+from .acknowledgements import longest_deadline_ms, start_waiting
 from .budget import check_budgets
 from .models import (
     Drain,
@@ -28,28 +28,28 @@
     StopIssued,
 )
 
-_Step = DrainStart | StopIssued | Returned | ReturnFailed | DrainCancel | MoveJoin
+_DrainStep = DrainStart | StopIssued | Returned | ReturnFailed | DrainCancel | MoveJoin
 
 
 @handles("waves.drain_start", DrainStart)
 def start_drain(
     state: FleetState, meta: RecordMeta, body: DrainStart
 ) -> Result[Accepted, Rejected]:
-    """Take an instance out of service if every rule about planned stops allows it now."""
-    instance = _find(state, body)
+    """Take an instance out of service if all rules for planned stops allow it."""
+    instance = _find_instance(state, body)
     if isinstance(instance, Rejected):
         return Err(instance)
     refusal = _check_drain(state, instance, body)
     if refusal is not None:
         return Err(refusal)
     if body.purpose is Purpose.MAINTENANCE:
-        wave.enter_wave(state, meta, instance.pool)
+        wave.count_drain(state, meta, instance.pool)
     drain = Drain(
         id=meta.id,
         purpose=body.purpose,
         coordinator=body.coordinator,
         started_ms=meta.now_ms,
-        lapse_grace_ms=lapse_grace_ms(state, instance.pool),
+        lapse_grace_ms=longest_deadline_ms(state, instance.pool),
         was_failed=instance.status is InstanceStatus.FAILED,
         to_pool=body.to_pool or "",
     )
@@ -63,15 +63,14 @@
 def issue_stop(state: FleetState, meta: RecordMeta, body: StopIssued) -> Result[Accepted, Rejected]:
     """Let one coordinator stop a quiesced instance, if the budgets still hold.
 
-    Between drain and stop a rack can fail. The drained instance is then needed back: it is
-    cancelled, not stopped.
+    If a rack failed since the drain started, the stop is refused, and the drain is cancelled.
     """
-    instance = _find(state, body, InstanceStatus.QUIESCED)
+    instance = _find_instance(state, body, InstanceStatus.QUIESCED)
     if isinstance(instance, Rejected):
         return Err(instance)
     drain = state.waves.drains[body.instance]
     if drain.purpose is Purpose.MOVE:
-        return Err(_wrong(body.instance, "is moved, not stopped"))
+        return Err(_wrong_state(body.instance, "is moved, not stopped"))
     refusal = None if drain.was_failed else _check_stop(state, instance, body.instance)
     refusal = refusal or _check_tasks(state, drain, body.instance)
     if refusal is not None:
@@ -83,19 +82,21 @@
 
 
 @handles("waves.returned", Returned)
-def take_back(state: FleetState, meta: RecordMeta, body: Returned) -> Result[Accepted, Rejected]:
-    """Put a restarted instance back into service.
+def return_instance(
+    state: FleetState, meta: RecordMeta, body: Returned
+) -> Result[Accepted, Rejected]:
+    """Return a restarted instance to service.
 
-    The platform's list lags and may still show the boot that was stopped; only another one
-    proves that the instance has come back.
+    The platform's list lags and may still show the stopped boot, so only a new boot id proves
+    that the instance has restarted.
     """
-    instance = _find(state, body, InstanceStatus.STOPPED, InstanceStatus.FAILED)
+    instance = _find_instance(state, body, InstanceStatus.STOPPED, InstanceStatus.FAILED)
     if isinstance(instance, Rejected):
         return Err(instance)
     drain = state.waves.drains.get(body.instance)
     old_boots = {instance.boot_id, drain.stopped_boot_id if drain else instance.stopped_boot_id}
     if body.boot_id in old_boots:
-        return Err(_wrong(body.instance, f"boot {body.boot_id} was there before"))
+        return Err(_wrong_state(body.instance, f"boot {body.boot_id} was there before"))
     instance.boot_id = body.boot_id
     instance.stopped_boot_id = ""
     set_status(instance, InstanceStatus.SERVING)
@@ -113,13 +114,13 @@
 def fail_return(
     state: FleetState, meta: RecordMeta, body: ReturnFailed
 ) -> Result[Accepted, Rejected]:
-    """Hold a stopped instance as failed, by log time and not by its coordinator's clock."""
-    instance = _find(state, body, InstanceStatus.STOPPED)
+    """Mark a stopped instance as failed; a timeout is checked against log time."""
+    instance = _find_instance(state, body, InstanceStatus.STOPPED)
     if isinstance(instance, Rejected):
         return Err(instance)
     drain = state.waves.drains[body.instance]
     if body.cause is ReturnFailure.TIMED_OUT and meta.now_ms < drain.return_by_ms:
-        return Err(_wrong(body.instance, f"has until {drain.return_by_ms}"))
+        return Err(_wrong_state(body.instance, f"has until {drain.return_by_ms}"))
     set_status(instance, InstanceStatus.FAILED)
     instance.failed_repairs += drain.purpose is Purpose.REPAIR
     instance.stopped_boot_id = drain.stopped_boot_id
@@ -133,8 +134,8 @@
 def cancel_drain(
     state: FleetState, meta: RecordMeta, body: DrainCancel
 ) -> Result[Accepted, Rejected]:
-    """Put an instance back that was not stopped yet."""
-    instance = _find(state, body, InstanceStatus.DRAINING, InstanceStatus.QUIESCED)
+    """Restore the earlier status of an instance that isn't stopped yet."""
+    instance = _find_instance(state, body, InstanceStatus.DRAINING, InstanceStatus.QUIESCED)
     if isinstance(instance, Rejected):
         return Err(instance)
     drain = state.waves.drains.pop(body.instance)
@@ -148,13 +149,13 @@
 
 @handles("waves.move_join", MoveJoin)
 def join_pool(state: FleetState, meta: RecordMeta, body: MoveJoin) -> Result[Accepted, Rejected]:
-    """End a move: one record takes the instance out of one pool and puts it into the other."""
-    instance = _find(state, body, InstanceStatus.QUIESCED)
+    """End a move: the instance leaves its pool and joins the other one in a single record."""
+    instance = _find_instance(state, body, InstanceStatus.QUIESCED)
     if isinstance(instance, Rejected):
         return Err(instance)
     drain = state.waves.drains[body.instance]
     if drain.purpose is not Purpose.MOVE:
-        return Err(_wrong(body.instance, "is stopped, not moved"))
+        return Err(_wrong_state(body.instance, "is stopped, not moved"))
     if not _is_pool(state, drain.to_pool):
         return Err(Rejected(reason=RejectReason.NOT_FOUND, detail=drain.to_pool))
     refusal = _check_tasks(state, drain, body.instance)
@@ -169,10 +170,9 @@
 
 
 def _check_tasks(state: FleetState, drain: Drain, instance_id: str) -> Rejected | None:
-    """Refuse to end a drain while tasks of jobs may run on the instance.
+    """Refuse to end a drain while tasks of jobs may still run on the instance.
 
-    No entry instance routes to it any more, but a job runs for hours; stopped now, its work
-    would be lost, or run twice where it must not be.
+    Stopping the instance would lose their work, or run a task twice that must run only once.
     """
     tasks = 0 if drain.was_failed else tasks_left(state, instance_id)
     if tasks == 0:
@@ -181,11 +181,13 @@
     return Rejected(reason=RejectReason.IN_USE, detail=detail)
 
 
-def _find(state: FleetState, body: _Step, *statuses: InstanceStatus) -> Instance | Rejected:
-    """Return the instance if its author saw its last change and it has one of the statuses.
+def _find_instance(
+    state: FleetState, body: _DrainStep, *statuses: InstanceStatus
+) -> Instance | Rejected:
+    """Return the instance if the record names its current version and its status is allowed.
 
-    Two coordinators, or one that slept past its lease, may act on the same instance. The
-    version lets the first record in and tells the other what is in force.
+    Several coordinators may act on the same instance. The version check accepts only the first
+    record, and the rejection carries the current version.
     """
     instance = state.pools.instances.get(body.instance)
     if instance is None:
@@ -195,20 +197,20 @@
             reason=RejectReason.STALE_VERSION, detail=body.instance, version=instance.version
         )
     if statuses and instance.status not in statuses:
-        return _wrong(body.instance, f"is {instance.status.value}")
+        return _wrong_state(body.instance, f"is {instance.status.value}")
     return instance
 
 
-def _wrong(instance_id: str, detail: str) -> Rejected:
+def _wrong_state(instance_id: str, detail: str) -> Rejected:
     return Rejected(reason=RejectReason.WRONG_STATE, detail=f"{instance_id} {detail}")
 
 
 def _check_drain(state: FleetState, instance: Instance, body: DrainStart) -> Rejected | None:
-    """Refuse a drain that any rule forbids; a repair takes nothing out of service."""
+    """Refuse a drain that breaks a rule; a repair takes no serving instance out of service."""
     if body.purpose is Purpose.REPAIR and instance.status is InstanceStatus.FAILED:
         return None
     if instance.status is not InstanceStatus.SERVING:
-        return _wrong(body.instance, f"is {instance.status.value}")
+        return _wrong_state(body.instance, f"is {instance.status.value}")
     if body.purpose is Purpose.MOVE:
         refusal = _check_move(state, instance, body)
     else:
@@ -222,12 +224,12 @@
     if body.to_pool is None or not _is_pool(state, body.to_pool):
         return Rejected(reason=RejectReason.NOT_FOUND, detail=f"pool {body.to_pool}")
     if body.to_pool == instance.pool:
-        return _wrong(body.instance, f"is in {instance.pool} already")
+        return _wrong_state(body.instance, f"is in {instance.pool} already")
     return None
 
 
 def _check_maintenance(state: FleetState, instance: Instance, body: DrainStart) -> Rejected | None:
-    """Refuse a drain for another wave than the pool's, or of an instance that had its turn."""
+    """Refuse a drain for a wave other than the pool's, or of an instance maintained in it."""
     if wave.find_maintenance(state, instance.pool) is None:
         return Rejected(reason=RejectReason.NOT_FOUND, detail=f"no maintenance of {instance.pool}")
     if body.purpose is Purpose.REPAIR:
@@ -236,9 +238,9 @@
     if body.wave != number:
         return Rejected(reason=RejectReason.STALE_VERSION, detail="wave", version=number)
     current = state.waves.waves.get(instance.pool)
-    if current is None or current.number != number or wave.is_covered(instance, current):
+    if current is None or current.number != number or wave.needs_maintenance(instance, current):
         return None
-    return _wrong(body.instance, f"had its turn in wave {number}")
+    return _wrong_state(body.instance, f"is already maintained in wave {number}")
 
 
 def _check_stop(state: FleetState, instance: Instance, instance_id: str) -> Rejected | None:
@@ -250,10 +252,10 @@
     maintenance = wave.find_maintenance(state, instance.pool)
     if maintenance is None:
         return None
-    under_way = len(wave.planned_drains(state, instance.pool))
-    if under_way < maintenance.entry.max_concurrent:
+    in_progress = len(wave.planned_drains(state, instance.pool))
+    if in_progress < maintenance.entry.max_concurrent:
         return None
-    detail = f"{under_way} drains of {instance.pool} are under way"
+    detail = f"{in_progress} drains of {instance.pool} are under way"
     return Rejected(reason=RejectReason.CONFLICT, detail=detail)
 
 
--- a/heatherkeel/waves/repairs.py
+++ b/heatherkeel/waves/repairs.py
@@ -11,18 +11,18 @@
 
 
 def plan_repairs(fleet: FleetState, *, coordinator: str) -> list[DrainStart]:
-    """Return a repair for each failed instance of a pool that is maintained.
+    """Return a repair for each failed instance of a pool with a maintenance entry.
 
-    An instance that doesn't come back from repairs, or whose pool's wave is halted, is left to
-    its operators: restarting it again would hide the cause.
+    Instances with too many failed repairs and pools with a halted wave are left out: restarting
+    them again would hide the cause from operators.
     """
     maintained = maintenance_of_pools(fleet)
-    resting = {
+    halted = {
         pool
         for pool, maintenance in maintained.items()
         if pool in fleet.waves.waves and is_halted(fleet.waves.waves[pool], maintenance)
     }
-    repaired = maintained.keys() - resting
+    repairable = maintained.keys() - halted
     return [
         DrainStart(
             instance=instance_id,
@@ -32,6 +32,6 @@
         )
         for instance_id, instance in sorted(fleet.pools.instances.items())
         if instance.status is InstanceStatus.FAILED
-        and instance.pool in repaired
+        and instance.pool in repairable
         and instance.failed_repairs < MAX_FAILED_REPAIRS
     ]
--- a/heatherkeel/waves/wave.py
+++ b/heatherkeel/waves/wave.py
@@ -1,4 +1,4 @@
-"""What a pool's maintenance entry and its newest wave allow."""
+"""Rules of a pool's maintenance entry, and the state of its newest wave."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(kw_only=True, slots=True)
 class PoolMaintenance:
-    """The maintenance entry that counts for a pool, and the offset of its newest edit."""
+    """The maintenance entry that applies to a pool, and the offset of its newest edit."""
 
     entry: MaintenanceEntry
     edited_offset: int
 
 
 def maintenance_of_pools(state: FleetState) -> dict[str, PoolMaintenance]:
-    """Return the maintenance of each pool that has an entry; of several, the first by name."""
+    """Return the maintenance of each pool; of several entries, the first by name applies."""
     found: dict[str, PoolMaintenance] = {}
     for _, entry, edited_offset in sorted(_maintenance_entries(state), key=itemgetter(0)):
         if entry.pool not in found:
@@ -34,7 +34,7 @@
 
 
 def find_maintenance(state: FleetState, pool: str) -> PoolMaintenance | None:
-    """Return the maintenance of a pool; if operators made several entries, the first by name."""
+    """Return the maintenance of a pool; of several entries, the first by name applies."""
     found = [item for item in _maintenance_entries(state) if item[1].pool == pool]
     if not found:
         return None
@@ -43,14 +43,14 @@
 
 
 def _maintenance_entries(state: FleetState) -> Iterator[tuple[str, MaintenanceEntry, int]]:
-    """Yield name, entry and offset of the newest edit, as bare tuples: handlers ask often."""
+    """Yield name, entry and offset of the newest edit, as tuples for speed."""
     for name, stored in state.catalogue.entries.items():
         if isinstance(stored.entry, MaintenanceEntry):
             yield name, stored.entry, stored.offset
 
 
 def is_closed(maintenance: MaintenanceEntry, now_ms: int) -> bool:
-    """Tell whether counter hours forbid a planned stop; they may span midnight (UTC)."""
+    """Return whether counter hours forbid a planned stop; they may span midnight (UTC)."""
     minute = now_ms // MINUTE_MS % MINUTES_PER_DAY
     start, end = maintenance.closed_from_minute, maintenance.closed_to_minute
     if start <= end:
@@ -59,7 +59,7 @@
 
 
 def return_timeout_ms(state: FleetState, pool: str) -> int:
-    """Return how long a stopped instance of the pool has to come back."""
+    """Return the time within which a stopped instance of the pool has to come back."""
     maintenance = find_maintenance(state, pool)
     if maintenance is None:
         return DEFAULT_RETURN_TIMEOUT_MS
@@ -67,7 +67,7 @@
 
 
 def planned_drains(state: FleetState, pool: str) -> list[Drain]:
-    """Return the drains that took serving instances out of a pool; repairs took none."""
+    """Return the drains that took serving instances of a pool out of service; not repairs."""
     return [
         drain
         for instance_id, drain in state.waves.drains.items()
@@ -89,53 +89,53 @@
 
 
 def is_halted(wave: Wave, maintenance: PoolMaintenance) -> bool:
-    """Tell whether a wave is halted and no operator has edited its maintenance entry since."""
+    """Return whether a wave is halted and its maintenance entry hasn't been edited since."""
     return bool(wave.halted_reason) and maintenance.edited_offset <= wave.halted_offset
 
 
 def halt_in_force(wave: Wave, maintenance: PoolMaintenance | None) -> str:
     """Return why a wave is halted now, empty if it isn't or an edit has resumed it.
 
-    The wave itself keeps the reason until its next drain. An operator who has just edited the
-    entry would read it as if the edit had not been taken.
+    `Wave.halted_reason` is kept until the next drain. Shown after an edit, it would suggest that
+    the edit had no effect.
     """
     if maintenance is None or not is_halted(wave, maintenance):
         return ""
     return wave.halted_reason
 
 
-def is_covered(instance: Instance, wave: Wave) -> bool:
-    """Tell whether a wave still has to maintain an instance."""
+def needs_maintenance(instance: Instance, wave: Wave) -> bool:
+    """Return whether a wave still has to maintain an instance."""
     was_maintained = instance.maintained_offset >= wave.started_offset
     return not was_maintained and instance.status is not InstanceStatus.FAILED
 
 
 def is_complete(state: FleetState, pool: str, wave: Wave) -> bool:
-    """Tell whether a wave has nothing under way and nothing left to maintain."""
+    """Return whether a wave has no drains in progress and no instances left to maintain."""
     members = (item for item in state.pools.instances.items() if item[1].pool == pool)
     return is_complete_for(state, wave, members)
 
 
 def is_complete_for(state: FleetState, wave: Wave, members: Iterable[tuple[str, Instance]]) -> bool:
-    """Tell whether a wave is complete, given the instances of its pool with their ids."""
+    """Return whether a wave is complete, given the instances of its pool with their ids."""
     return not any(
-        is_covered(instance, wave) or instance_id in state.waves.drains
+        needs_maintenance(instance, wave) or instance_id in state.waves.drains
         for instance_id, instance in members
     )
 
 
 def next_number(state: FleetState, pool: str) -> int:
-    """Return the number that a maintenance drain of the pool has to name now."""
+    """Return the wave number that the next maintenance drain of the pool has to name."""
     wave = state.waves.waves.get(pool)
     if wave is None:
         return 1
     return wave.number + 1 if is_complete(state, pool, wave) else wave.number
 
 
-def enter_wave(state: FleetState, meta: RecordMeta, pool: str) -> None:
-    """Count a maintenance drain in the pool's wave, opening a new one if the last is complete.
+def count_drain(state: FleetState, meta: RecordMeta, pool: str) -> None:
+    """Count a maintenance drain in the pool's wave, starting a new one if the last is complete.
 
-    It was admitted, so an operator has let a halted wave go on: the old reason holds no more.
+    An accepted drain implies that an operator has resumed a halted wave, so the reason is reset.
     """
     wave = state.waves.waves.get(pool)
     number = next_number(state, pool)
@@ -153,10 +153,10 @@
 
 
 def count_return(state: FleetState, meta: RecordMeta, pool: str, drain: Drain) -> list[Effect]:
-    """Count an instance that came back, and say so when it was the wave's last one.
+    """Count an instance that came back, and finish the wave if it was the last one.
 
-    A repair can be the last thing under way too. If only maintenance ended a wave, one whose last
-    instance was repaired would stay open for ever.
+    A repair can finish a wave too. Otherwise a wave whose last instance is repaired would never
+    finish.
     """
     wave = state.waves.waves.get(pool)
     if wave is not None and drain.purpose is Purpose.MAINTENANCE:
@@ -166,9 +166,9 @@
 
 @follows_up
 def finish_resumed_waves(state: FleetState, offset: int) -> list[Effect]:
-    """Note the end of waves that an edit resumed with nothing left to maintain.
+    """Finish the waves that an edit resumed with no instances left to maintain.
 
-    No later record would end such a wave, and its operator would wait for it for ever.
+    No later record would finish such a wave.
     """
     if state.catalogue.changed_offset != offset:
         return []
@@ -179,11 +179,11 @@
 
 
 def finish_wave(state: FleetState, offset: int, pool: str) -> list[Effect]:
-    """Note the end of a wave that has become complete, unless it is halted.
+    """Finish a wave that has become complete, unless it is halted.
 
-    The last instance can leave a wave in other ways than by its maintenance: it fails, is
-    repaired, moves away or is terminated. Whoever decides those asks here, too. A halted wave is
-    its operator's: shown as finished, its failures would look as if they had been dealt with.
+    The handlers of failures, repairs, moves and terminations call this too, since each can remove
+    the last instance from a wave. A halted wave stays unfinished until an operator resumes it, so
+    that its failures aren't overlooked.
     """
     wave = state.waves.waves.get(pool)
     if wave is None or wave.finished_ms or not is_complete(state, pool, wave):
@@ -207,9 +207,8 @@
 ) -> list[Effect]:
     """Count an instance that didn't come back, and halt the wave when there are too many.
 
-    Failures within a wave are correlated: what broke one instance, a bad image say, breaks the
-    next one as well. Going on would take the pool down one instance at a time, each stop within
-    the budget of its moment.
+    Failures within a wave are often correlated, for example by a bad image. Without the halt, a
+    wave could take down its pool one instance at a time, each stop within the budget.
     """
     wave = state.waves.waves.get(pool)
     maintenance = find_maintenance(state, pool)
