--- a/heatherkeel/waves/checks.py
+++ b/heatherkeel/waves/checks.py
@@ -1,7 +1,6 @@
-"""Checks the promises about planned stops, apart from the code that decides them.
+"""Checks the guarantees of planned stops, independently of the code that decides them.
 
-Each checker compares the states before and after one record. They count by themselves, without
-the helpers of the reducer: a fault in those would else hide itself.
+The checkers don't use the helpers of the reducer, whose faults they would otherwise repeat.
 """
 
 from __future__ import annotations
@@ -37,7 +36,7 @@
 def check_budget(
     before: FleetState, effects: list[Effect], after: FleetState
 ) -> Iterator[Violation]:
-    """Find planned stops that began or went through without room for one more loss."""
+    """Find planned stops that left too few instances for the loss of a failure domain."""
     for instance_id, instance in _planned_stops(before, after):
         for name, service in _services(after, instance.pool):
             left = _left_after_worst_loss(after, instance.pool, service.budget)
@@ -50,7 +49,7 @@
 def check_hours(
     before: FleetState, effects: list[Effect], after: FleetState
 ) -> Iterator[Violation]:
-    """Find planned stops in the minutes that their pool's owner closed."""
+    """Find planned stops within the counter hours of their pool."""
     minute = after.now_ms // MINUTE_MS % MINUTES_PER_DAY
     for instance_id, instance in _planned_stops(before, after):
         maintenance = _maintenance(after, instance.pool)
@@ -62,7 +61,7 @@
 def check_halted(
     before: FleetState, effects: list[Effect], after: FleetState
 ) -> Iterator[Violation]:
-    """Find planned stops in a halted wave that no operator has let go on."""
+    """Find planned stops in a halted wave that no operator has resumed."""
     for instance_id, instance in _planned_stops(before, after):
         wave = before.waves.waves.get(instance.pool)
         if wave is None or not wave.halted_reason:
@@ -80,13 +79,16 @@
 def check_acknowledged(
     before: FleetState, effects: list[Effect], after: FleetState
 ) -> Iterator[Violation]:
-    """Find waits that ended without a word, an end or a lapsed lease, and stops without a wait."""
+    """Find waits that ended without a valid cause, and stops of instances not quiesced.
+
+    A valid cause is an acknowledgement, the end of the incarnation or an expired lease.
+    """
     for instance_id, drain in before.waves.drains.items():
-        now = after.waves.drains.get(instance_id)
-        if now is None or now.id != drain.id:
+        current = after.waves.drains.get(instance_id)
+        if current is None or current.id != drain.id:
             continue
-        for incarnation in drain.waiting.keys() - now.waiting.keys():
-            if not _may_end_wait(effects, after, instance_id, incarnation):
+        for incarnation in drain.waiting.keys() - current.waiting.keys():
+            if not _is_wait_end_allowed(effects, after, instance_id, incarnation):
                 detail = f"{incarnation} has not acknowledged"
                 yield _violation(after, "stopped_after_acknowledgement", instance_id, detail)
     for instance_id, instance in after.pools.instances.items():
@@ -102,7 +104,7 @@
 def check_pool_changes(
     before: FleetState, effects: list[Effect], after: FleetState
 ) -> Iterator[Violation]:
-    """Find changes of pool that are not the end of a move."""
+    """Find pool changes that are not the end of a move."""
     for instance_id, instance in after.pools.instances.items():
         old = before.pools.instances.get(instance_id)
         if old is None or old.pool == instance.pool:
@@ -119,7 +121,7 @@
 def check_versions(
     before: FleetState, effects: list[Effect], after: FleetState
 ) -> Iterator[Violation]:
-    """Find versions that fell, and changes of an instance without a new one."""
+    """Find versions that decreased, and changes of an instance without a new version."""
     for name, version in before.catalogue.versions.items():
         if after.catalogue.versions.get(name, 0) < version:
             yield _violation(after, "versions_rise", name, f"below {version}")
@@ -141,7 +143,7 @@
 
 
 def _planned_stops(before: FleetState, after: FleetState) -> Iterator[tuple[str, Instance]]:
-    """Yield the instances that a record took out of service, or stopped, by plan."""
+    """Yield the instances that a record drained or stopped by plan."""
     for instance_id, instance in after.pools.instances.items():
         old = before.pools.instances.get(instance_id)
         drain = after.waves.drains.get(instance_id)
@@ -162,7 +164,7 @@
 
 
 def _left_after_worst_loss(state: FleetState, pool: str, budget: Budget) -> int:
-    """Count what still serves after each possible loss in turn, and return the least."""
+    """Return the smallest number of serving instances after any one loss."""
     serving = [
         instance
         for instance in state.pools.instances.values()
@@ -192,7 +194,7 @@
     return {(start + step) % MINUTES_PER_DAY for step in range(length)}
 
 
-def _may_end_wait(
+def _is_wait_end_allowed(
     effects: list[Effect], after: FleetState, instance_id: str, incarnation: str
 ) -> bool:
     for effect in effects:
@@ -203,5 +205,5 @@
             return True
     members = [*after.membership.entries.values(), *after.membership.superseded.values()]
     alive = [member for member in members if member.incarnation == incarnation]
-    far = [member for member in alive if member.zone != after.pools.instances[instance_id].zone]
-    return not alive or any(member.lease_until_ms <= after.now_ms for member in far)
+    remote = [member for member in alive if member.zone != after.pools.instances[instance_id].zone]
+    return not alive or any(member.lease_until_ms <= after.now_ms for member in remote)
--- a/heatherkeel/waves/status.py
+++ b/heatherkeel/waves/status.py
@@ -1,4 +1,4 @@
-"""Tells operators how waves go, and why a drain has not ended."""
+"""Reports the progress of waves to operators, and why a drain has not ended."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class WaitStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """An entry instance that has not acknowledged a drain; 0 ms while its lease holds."""
+    """An entry instance that has not acknowledged a drain.
+
+    `silent_ms` is the time since its lease expired, 0 while the lease is valid.
+    """
 
     entry: str
     zone: str
@@ -21,7 +24,7 @@
 
 
 class DrainStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """A drain under way; times in log milliseconds, `reason` in words for operators."""
+    """A drain in progress; times in log milliseconds, `reason` is a text for operators."""
 
     pool: str
     purpose: str
@@ -32,7 +35,7 @@
 
 
 class WaveStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The newest wave of a pool; `finished_ms` is 0 while it goes on."""
+    """The newest wave of a pool; `finished_ms` is 0 until it is finished."""
 
     number: int
     started_ms: int
@@ -45,7 +48,7 @@
 
 
 class MaintenanceStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Waves by pool, drains by instance, and why instances are failed."""
+    """Waves by pool, drains by instance id, and the failures of instances by id."""
 
     waves: dict[str, WaveStatus]
     drains: dict[str, DrainStatus]
@@ -53,7 +56,7 @@
 
 
 def maintenance_status(fleet: FleetState) -> MaintenanceStatus:
-    """Return all that the log knows of maintenance."""
+    """Return the status of all maintenance in the folded state."""
     failed = {
         instance_id: instance.failure
         for instance_id, instance in sorted(fleet.pools.instances.items())
@@ -65,7 +68,7 @@
 
 
 def explain_drains(fleet: FleetState) -> dict[str, DrainStatus]:
-    """Return each drain under way with whom it waits for and how long, by instance id."""
+    """Return the drains in progress by instance id, with the acknowledgements they wait for."""
     return {
         instance_id: _explain_drain(fleet, instance_id, drain)
         for instance_id, drain in sorted(fleet.waves.drains.items())
@@ -84,7 +87,7 @@
         status=instance.status,
         age_ms=fleet.now_ms - drain.started_ms,
         waiting=waiting,
-        reason=_give_reason(fleet, instance_id, drain, waiting),
+        reason=_drain_reason(fleet, instance_id, drain, waiting),
     )
 
 
@@ -96,7 +99,7 @@
     return WaitStatus(entry=entry, zone=known.zone, silent_ms=silent_ms)
 
 
-def _give_reason(
+def _drain_reason(
     fleet: FleetState, instance_id: str, drain: Drain, waiting: list[WaitStatus]
 ) -> str:
     instance = fleet.pools.instances[instance_id]
@@ -106,12 +109,12 @@
     if instance.status is InstanceStatus.QUIESCED:
         return "ready to join" if drain.purpose is Purpose.MOVE else "ready to stop"
     age_s = (fleet.now_ms - drain.started_ms) // 1000
-    names = ", ".join(_name_wait(wait, instance.zone) for wait in waiting)
+    names = ", ".join(_describe_wait(wait, instance.zone) for wait in waiting)
     return f"not acknowledged for {age_s} s by {names}"
 
 
-def _name_wait(wait: WaitStatus, zone: str) -> str:
-    """Name whom a drain waits for, and for the silent ones what would end the wait."""
+def _describe_wait(wait: WaitStatus, zone: str) -> str:
+    """Describe an entry instance that a drain waits for; if unresponsive, what ends the wait."""
     if not wait.silent_ms:
         return f"{wait.entry} ({wait.zone})"
     end = "its lease" if wait.zone != zone else "the platform's word that it is terminated"
