--- a/heatherkeel/admin/status.py
+++ b/heatherkeel/admin/status.py
@@ -13,7 +13,7 @@
 from heatherkeel.core.state import FleetState, digest
 from heatherkeel.helpers.clock import monotonic_ms
 from heatherkeel.waves.models import Purpose
-from heatherkeel.waves.wave import halt_in_force, maintenance_of_pools
+from heatherkeel.waves.wave import active_halt_reason, maintenance_of_pools
 
 from .models import Access, Answer, Call, Reply
 from .routes import route
@@ -137,7 +137,7 @@
             drained=wave.drained,
             returned=wave.returned,
             failed=wave.failed,
-            halted_reason=halt_in_force(wave, maintained.get(pool)),
+            halted_reason=active_halt_reason(wave, maintained.get(pool)),
         )
         for pool, wave in fleet.waves.waves.items()
         if not wave.finished_ms
--- a/heatherkeel/waves/status.py
+++ b/heatherkeel/waves/status.py
@@ -9,7 +9,7 @@
 from heatherkeel.pools.models import InstanceStatus
 
 from .models import Drain, Purpose
-from .wave import halt_in_force, is_complete, maintenance_of_pools
+from .wave import active_halt_reason, is_complete, maintenance_of_pools
 
 
 class WaitStatus(msgspec.Struct, frozen=True, kw_only=True):
@@ -125,7 +125,7 @@
     maintained = maintenance_of_pools(fleet)
     statuses: dict[str, WaveStatus] = {}
     for pool, wave in sorted(fleet.waves.waves.items()):
-        reason = halt_in_force(wave, maintained.get(pool))
+        reason = active_halt_reason(wave, maintained.get(pool))
         statuses[pool] = WaveStatus(
             number=wave.number,
             started_ms=wave.started_ms,
--- a/heatherkeel/waves/wave.py
+++ b/heatherkeel/waves/wave.py
@@ -93,7 +93,7 @@
     return bool(wave.halted_reason) and maintenance.edited_offset <= wave.halted_offset
 
 
-def halt_in_force(wave: Wave, maintenance: PoolMaintenance | None) -> str:
+def active_halt_reason(wave: Wave, maintenance: PoolMaintenance | None) -> str:
     """Return why a wave is halted now, empty if it isn't or an edit has resumed it.
 
     `Wave.halted_reason` is kept until the next drain. Shown after an edit, it would suggest that
--- a/tests/waves/test_wave.py
+++ b/tests/waves/test_wave.py
@@ -13,7 +13,7 @@
     WaveFinished,
     WaveHalted,
 )
-from heatherkeel.waves.wave import find_maintenance, halt_in_force
+from heatherkeel.waves.wave import active_halt_reason, find_maintenance
 from tests.fleets import FoldedLog, maintenance, small_fleet
 
 ALL = ("a0", "a1", "b0", "b1", "c0", "c1")
@@ -153,9 +153,9 @@
     _lose(log, "a0")
     _lose(log, "b0")
     wave = log.state.waves.waves["desk"]
-    assert halt_in_force(wave, find_maintenance(log.state, "desk")) == wave.halted_reason != ""
+    assert active_halt_reason(wave, find_maintenance(log.state, "desk")) == wave.halted_reason != ""
     log.put("care", maintenance(max_concurrent=1))
-    assert halt_in_force(wave, find_maintenance(log.state, "desk")) == ""
+    assert active_halt_reason(wave, find_maintenance(log.state, "desk")) == ""
 
 
 def test_a_drain_names_the_wave_of_its_pool() -> None:
