--- a/tests/waves/test_coordinator.py
+++ b/tests/waves/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Any coordinator can go on where another one stopped, from the state alone."""
+"""Any coordinator can take over the drains of another one from the folded state alone."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     return next_steps(log.state, log.now_ms, coordinator="entry-b")
 
 
-def test_a_quiesced_instance_is_stopped_by_whoever_comes_next() -> None:
-    # The coordinator that started the drain dies before the stop; its record is all that is left.
+def test_another_coordinator_stops_a_quiesced_instance() -> None:
+    # The coordinator that started the drain dies before the stop, and leaves only its record.
     log = small_fleet()
     log.must(log.drain("a0"))
     assert _steps(log) == []
@@ -33,7 +33,7 @@
     assert _steps(log) == []
 
 
-def test_a_quiesced_move_is_joined() -> None:
+def test_a_quiesced_instance_joins_the_pool_of_its_move() -> None:
     log = small_fleet()
     log.put("spare", PoolEntry(owner=OWNER, size=1))
     move = DrainStart(
@@ -50,7 +50,7 @@
     assert isinstance(step, MoveJoin)
 
 
-def test_an_instance_that_does_not_come_back_in_time_is_given_up() -> None:
+def test_an_instance_that_exceeds_its_return_timeout_fails() -> None:
     log = small_fleet()
     log.quiesce("a0")
     log.must(log.stop("a0"))
@@ -62,8 +62,8 @@
     log.must(step)
 
 
-def test_a_drain_goes_back_when_the_reserve_is_spent() -> None:
-    # A rack fails while a0 is drained. Its callers need a0 back, not stopped.
+def test_a_drain_is_cancelled_when_the_budget_no_longer_holds() -> None:
+    # A rack fails while a0 is drained. The budget then requires a0 back in service.
     log = small_fleet(min_serving=4)
     log.quiesce("a0")
     log.must(
@@ -78,8 +78,8 @@
     assert log.instance("a0").status is InstanceStatus.SERVING
 
 
-def test_a_drain_that_cannot_end_goes_back_and_says_whom_it_waited_for() -> None:
-    # Zone a is cut off, so entry-a never acknowledges. Until it is back, a0 serves nobody else.
+def test_a_drain_that_times_out_is_cancelled_with_the_missing_acknowledgements() -> None:
+    # Zone a is cut off, so entry-a never acknowledges. Until then a0 would be out of service.
     log = small_fleet()
     log.must(log.drain("a0"))
     log.must(log.ack("entry-b", "a0"))
@@ -90,7 +90,7 @@
     assert step.reason == "not acknowledged by entry-a"
 
 
-def test_a_drain_goes_back_when_the_counter_opens() -> None:
+def test_a_drain_is_cancelled_when_counter_hours_begin() -> None:
     log = small_fleet()
     log.quiesce("a0")
     minute = log.now_ms // 60_000 % 1440
--- a/tests/waves/test_drain.py
+++ b/tests/waves/test_drain.py
@@ -1,4 +1,4 @@
-"""A planned stop goes through only when nobody can send to the target any more."""
+"""A planned stop is accepted only when no entry instance can send to the target."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 DEADLINE_MS = 5_000
 
 
-def test_one_instance_goes_through_its_whole_cycle() -> None:
+def test_an_instance_is_drained_stopped_and_returned() -> None:
     log = small_fleet()
     log.must(log.drain("a0"))
     for entry_id in ("entry-a", "entry-b", "entry-c"):
@@ -43,9 +43,9 @@
     assert log.state.waves.drains == {}
 
 
-def test_a_silent_entry_instance_of_the_same_zone_holds_the_stop() -> None:
-    # Availability zone a is cut off: its entry instance goes on sending callers' requests to a0,
-    # and no renewal reaches the log. A stop after its lease ran out would cut those requests.
+def test_an_unresponsive_entry_instance_of_the_same_zone_blocks_the_stop() -> None:
+    # Availability zone a is cut off: its entry instance keeps sending requests to a0, and no
+    # renewal reaches the log. A stop after the expiry of its lease would cut off those requests.
     log = small_fleet()
     log.must(log.drain("a0"))
     log.must(log.ack("entry-b", "a0"))
@@ -55,9 +55,9 @@
     assert log.refused(log.stop("a0")).reason is RejectReason.WRONG_STATE
 
 
-def test_a_lapsed_lease_in_another_zone_ends_the_wait_after_the_longest_request() -> None:
-    # Zone b is cut off for good. Its entry instance stops sending to other zones when its lease
-    # runs out, but a request that it sent just before may go on until its deadline.
+def test_an_expired_lease_in_another_zone_ends_the_wait_after_the_longest_request() -> None:
+    # Zone b is cut off permanently. Its entry instance stops sending to other zones when its lease
+    # expires, but a request that it sent just before may continue until its deadline.
     log = small_fleet()
     log.must(log.drain("a0"))
     log.must(log.ack("entry-a", "a0"))
@@ -69,10 +69,9 @@
     assert any(isinstance(effect, StopPermitted) for effect in effects)
 
 
-def test_a_new_incarnation_does_not_speak_for_the_old_one() -> None:
-    # entry-a is thought dead and replaced under its id, while the old process is cut off and
-    # still sends to a0. The new process has nothing in progress and says so; that must not
-    # free a0. Only the platform's word about the old one does.
+def test_a_new_incarnation_does_not_acknowledge_for_the_old_one() -> None:
+    # entry-a is replaced under its id, while the old process is cut off and still sends to a0. An
+    # acknowledgement of the new process must not quiesce a0; only the old one's termination does.
     log = small_fleet()
     log.must(log.drain("a0"))
     log.must(log.ack("entry-b", "a0"))
@@ -85,15 +84,15 @@
     assert log.instance("a0").status is InstanceStatus.QUIESCED
 
 
-def test_an_incarnation_replaced_before_the_drain_is_waited_for_too() -> None:
-    # The same, but entry-a was replaced before the drain began.
+def test_an_incarnation_replaced_before_the_drain_is_waited_for() -> None:
+    # The old process of entry-a may still send to a0.
     log = small_fleet()
     log.must(join("entry-a", incarnation="2"))
     log.must(log.drain("a0"))
     assert set(log.drain_of("a0").waiting) == {"entry-a.1", "entry-a.2", "entry-b.1", "entry-c.1"}
 
 
-def test_an_entry_instance_that_leaves_is_waited_for_no_more() -> None:
+def test_an_entry_instance_that_leaves_is_no_longer_waited_for() -> None:
     log = small_fleet()
     log.must(log.drain("a0"))
     log.must(log.ack("entry-b", "a0"))
@@ -102,9 +101,9 @@
     assert log.instance("a0").status is InstanceStatus.QUIESCED
 
 
-def test_an_acknowledgement_of_an_earlier_drain_counts_for_nothing() -> None:
-    # entry-a acknowledges a drain that is cancelled, and sends to a0 again. Its record, delayed,
-    # arrives in the next drain of a0, when it has a request in progress there.
+def test_an_acknowledgement_of_an_earlier_drain_is_refused() -> None:
+    # entry-a acknowledges a drain that is then cancelled, and sends to a0 again. Its record arrives
+    # late, during the next drain of a0, when it has a request in progress there.
     log = small_fleet()
     log.must(log.drain("a0"))
     late = log.ack("entry-a", "a0")
@@ -124,7 +123,7 @@
     assert log.instance("b0").status is InstanceStatus.QUIESCED
 
 
-def test_nobody_to_wait_for_quiesces_at_once() -> None:
+def test_a_drain_without_entry_instances_quiesces_at_once() -> None:
     log = small_fleet()
     for zone in "abc":
         log.must(EntryLeave(instance=f"entry-{zone}", incarnation=f"entry-{zone}.1"))
@@ -133,8 +132,8 @@
 
 
 def test_a_second_coordinator_is_refused() -> None:
-    # A coordinator sleeps past its lease, wakes, and goes on with what it had planned, while
-    # another one has drained the same instance.
+    # A coordinator is suspended past its lease and then continues with its old plan, while another
+    # one has drained the same instance.
     log = small_fleet()
     stale = log.drain("a0")
     log.must(log.drain("a0"))
@@ -143,7 +142,7 @@
 
 
 def test_the_boot_that_was_stopped_does_not_count_as_returned() -> None:
-    # The platform's list lags and still shows a0 running, under the boot that is being stopped.
+    # The platform's list lags and still shows a0 running with the boot that is being stopped.
     log = small_fleet()
     log.quiesce("a0")
     log.must(log.stop("a0"))
@@ -151,8 +150,8 @@
     assert log.refused(stale).reason is RejectReason.WRONG_STATE
 
 
-def test_a_return_fails_by_log_time_only() -> None:
-    # A coordinator with a wrong clock says at once that a0 didn't come back.
+def test_a_return_times_out_by_log_time_only() -> None:
+    # A coordinator with a wrong clock reports too early that a0 didn't come back.
     log = small_fleet()
     log.quiesce("a0")
     log.must(log.stop("a0"))
@@ -163,9 +162,9 @@
     assert log.instance("a0").status is InstanceStatus.FAILED
 
 
-def test_an_instance_whose_stop_may_still_come_is_not_taken_back() -> None:
-    # The platform is slow: a0 has not been stopped when its time to come back is over, and so
-    # it still answers. Taken back into service, it would be stopped with requests in progress.
+def test_a_failed_instance_with_a_pending_stop_is_not_returned_to_service() -> None:
+    # The platform is slow: a0 isn't stopped yet when its return timeout is over, and still answers.
+    # If it were returned to service, it would be stopped with requests in progress.
     log = small_fleet()
     log.quiesce("a0")
     log.must(log.stop("a0"))
@@ -179,7 +178,7 @@
     assert log.instance("a0").status is InstanceStatus.SERVING
 
 
-def test_a_failed_instance_is_repaired_without_touching_the_budget() -> None:
+def test_a_repair_of_a_failed_instance_ignores_the_budget() -> None:
     log = small_fleet(min_serving=4)
     log.quiesce("a0")
     log.must(log.stop("a0"))
@@ -194,7 +193,7 @@
 
 
 def test_a_drain_beyond_the_budget_is_refused() -> None:
-    # Six serve and four must, with one rack of one instance in reserve: there is room for one.
+    # Six instances serve, four must, and the reserve is a rack of one: one drain is allowed.
     log = small_fleet(min_serving=4)
     log.must(log.drain("a0"))
     refusal = log.refused(log.drain("b0"))
@@ -207,16 +206,16 @@
     assert log.refused(log.drain("a0")).reason is RejectReason.NO_BUDGET
 
 
-def test_every_service_on_the_pool_is_asked() -> None:
+def test_the_budget_of_every_service_on_the_pool_is_checked() -> None:
     log = small_fleet(min_serving=1)
     log.put("sheets", service(min_serving=5, path_prefix="/sheets"))
     refusal = log.refused(log.drain("a0"))
     assert refusal.detail.startswith("sheets:")
 
 
-def test_a_rack_lost_after_the_drain_stops_the_stop() -> None:
-    # a0 is drained with room for one more rack. Then that rack fails. Stopping a0 now would
-    # leave no room for the next loss, so a0 has to come back to its callers.
+def test_a_rack_lost_after_the_drain_prevents_the_stop() -> None:
+    # A rack fails after a0 was drained. Stopping a0 would leave no reserve for the next loss, so
+    # a0 has to return to service.
     log = small_fleet(min_serving=4)
     log.quiesce("a0")
     _fail(log, "b0")
@@ -249,14 +248,14 @@
     assert log.refused(log.drain("a0")).reason is RejectReason.OUTSIDE_HOURS
 
 
-def test_concurrent_drains_are_bounded() -> None:
+def test_concurrent_drains_are_limited() -> None:
     log = small_fleet(min_serving=0)
     log.must(log.drain("a0"))
     log.must(log.drain("b0"))
     assert log.refused(log.drain("c0")).reason is RejectReason.CONFLICT
 
 
-def test_acknowledgements_of_strangers_are_refused() -> None:
+def test_an_acknowledgement_with_the_wrong_entry_instance_is_refused() -> None:
     log = small_fleet()
     log.must(log.drain("a0"))
     acked = (AckedDrain(instance="a0", drain=log.drain_of("a0").id),)
@@ -264,7 +263,7 @@
     assert log.refused(stranger).reason is RejectReason.NOT_FOUND
 
 
-def test_a_drain_of_an_instance_that_is_gone_is_forgotten() -> None:
+def test_a_drain_is_removed_with_its_terminated_instance() -> None:
     log = small_fleet()
     log.must(log.drain("a0"))
     log.must(InstanceGone(instance="a0", boot_id="a0.1"))
--- a/tests/waves/test_moves.py
+++ b/tests/waves/test_moves.py
@@ -1,4 +1,4 @@
-"""An instance is in exactly one pool at every offset, whoever moves it."""
+"""An instance is in exactly one pool at every offset, also with concurrent moves."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 
 def test_a_move_joins_only_after_all_acknowledged() -> None:
-    # Callers of the old pool may still have requests on a0; the new pool's callers must not
-    # reach it before those are done.
+    # Callers of the old pool may still have requests on a0. Requests to the new pool must not
+    # reach it before those are finished.
     log = small_fleet()
     log.must(_move(log, to_pool="spare"))
     assert log.refused(_join(log)).reason is RejectReason.WRONG_STATE
@@ -37,8 +37,8 @@
     assert log.instance("a0").status is InstanceStatus.SERVING
 
 
-def test_of_two_racing_movers_one_wins_and_the_other_is_told() -> None:
-    # Two coordinators read the same version and move a0 at the same moment.
+def test_of_two_concurrent_moves_one_is_accepted_and_the_other_refused() -> None:
+    # Two coordinators read the same version and move a0 at the same time.
     log = small_fleet()
     first = _move(log, to_pool="spare", coordinator="entry-a")
     second = _move(log, to_pool="spare", coordinator="entry-b")
@@ -48,7 +48,7 @@
     assert log.drain_of("a0").coordinator == "entry-a"
 
 
-def test_a_move_needs_another_known_pool() -> None:
+def test_a_move_requires_another_existing_pool() -> None:
     log = small_fleet()
     assert log.refused(_move(log, to_pool="nowhere")).reason is RejectReason.NOT_FOUND
     assert log.refused(_move(log, to_pool="desk")).reason is RejectReason.WRONG_STATE
--- a/tests/waves/test_policy.py
+++ b/tests/waves/test_policy.py
@@ -50,7 +50,7 @@
     assert [drain.instance for drain in _plan(_due(log))] == ["a0", "b0"]
 
 
-def test_an_operator_asks_for_a_wave_by_an_edit_and_gets_one() -> None:
+def test_an_edit_of_wave_request_starts_a_wave() -> None:
     log = small_fleet()
     driver = WaveDriver(log=log)
     driver.run(ticks=2)
@@ -61,7 +61,7 @@
     assert log.state.waves.waves["desk"].number == 1
 
 
-def test_draining_the_largest_rack_first_leaves_room_for_more() -> None:
+def test_draining_the_largest_rack_first_allows_more_drains() -> None:
     # Racks of 4 and 2, with the larger in reserve and one that must serve. By name the small
     # rack's instances might go first; the reserve stays at 4 then, and one drain fits.
     log = _racked_fleet((2, 4), min_serving=1)
@@ -69,7 +69,7 @@
     assert sorted(chosen) == ["r0n0", "r1n0", "r1n1", "r1n2"]
 
 
-def test_drains_that_make_room_are_paired_with_those_that_need_it() -> None:
+def test_drains_that_lower_the_reserve_are_paired_with_drains_that_need_it() -> None:
     # Two at a time, and only one from the largest rack makes room for another rack's. Spent in
     # pairs on each other, they leave the small racks to be drained one by one: five rounds.
     rounds = {
@@ -84,7 +84,7 @@
     assert rounds == {"spread": 4, "largest_rack_first": 5}
 
 
-def test_drains_side_by_side_are_spread_over_the_availability_zones() -> None:
+def test_concurrent_drains_are_spread_over_the_availability_zones() -> None:
     # Both workers of zone a could be drained at once. Its callers would then be served across
     # zones, and by nobody if the zone were cut off.
     log = _due(small_fleet(min_serving=0))
@@ -100,11 +100,11 @@
 
 
 @pytest.mark.parametrize("name", sorted(POLICIES))
-def test_no_policy_proposes_what_the_budget_has_no_room_for(name: str) -> None:
+def test_no_policy_exceeds_the_budget(name: str) -> None:
     assert _plan(_due(small_fleet(min_serving=5)), policy_name=name) == []
 
 
-def test_a_halted_wave_is_left_to_its_operators() -> None:
+def test_nothing_is_proposed_in_a_halted_wave() -> None:
     # Two instances did not come back, and the wave is halted. Neither the next drain nor a
     # repair, which would restart them on the same bad image, is proposed.
     log = _due(small_fleet(min_serving=0))
@@ -115,7 +115,7 @@
     assert _plan(log) == []
 
 
-def test_a_zone_with_a_silent_entry_instance_is_left_for_later() -> None:
+def test_a_zone_with_an_unresponsive_entry_instance_is_postponed() -> None:
     # Zone a is cut off. A drain of its instances could not end, and would hold capacity back.
     log = small_fleet()
     log.wait(HOUR_MS)
@@ -124,14 +124,14 @@
     assert [drain.instance for drain in _plan(log)] == ["b0", "c0"]
 
 
-def test_no_drain_starts_that_could_reach_into_counter_hours() -> None:
+def test_no_drain_starts_that_could_extend_into_counter_hours() -> None:
     log = _due(small_fleet())
     minute = log.now_ms // 60_000 % 1440
     log.put("care", maintenance(closed_from_minute=minute + 1, closed_to_minute=minute + 2))
     assert _plan(log) == []
 
 
-def test_a_failed_instance_is_repaired_but_not_for_ever() -> None:
+def test_repairs_of_a_failed_instance_are_limited() -> None:
     log = small_fleet()
     log.must(
         InstanceObserved(
@@ -146,7 +146,7 @@
     assert log.state.waves.drains == {}
 
 
-def test_a_pool_that_lacks_instances_gets_them_by_the_fewest_moves() -> None:
+def test_a_pool_that_lacks_instances_receives_them_by_the_fewest_moves() -> None:
     log = small_fleet()
     log.put("desk", PoolEntry(owner=OWNER, size=4))
     log.put("spare", PoolEntry(owner=OWNER, size=2))
@@ -175,13 +175,13 @@
 
 
 @pytest.mark.parametrize("name", sorted(POLICIES))
-def test_each_policy_finishes_a_wave_and_proposes_only_what_the_fold_takes(name: str) -> None:
+def test_each_policy_finishes_a_wave_and_proposes_only_what_the_fold_accepts(name: str) -> None:
     driver = WaveDriver(log=_due(small_fleet()), policy_name=name)
     driver.run_wave("desk")
     assert driver.refusals == []
 
 
-def test_ours_is_quicker_than_the_baselines() -> None:
+def test_the_production_policy_is_faster_than_the_baselines() -> None:
     times = {
         name: WaveDriver(log=_racked_fleet((4, 4, 4), min_serving=4), policy_name=name).run_wave(
             "desk"
--- a/tests/waves/test_wave.py
+++ b/tests/waves/test_wave.py
@@ -16,7 +16,7 @@
 from heatherkeel.waves.wave import active_halt_reason, find_maintenance
 from tests.fleets import FoldedLog, maintenance, small_fleet
 
-ALL = ("a0", "a1", "b0", "b1", "c0", "c1")
+INSTANCES = ("a0", "a1", "b0", "b1", "c0", "c1")
 
 
 def _stop(log: FoldedLog, instance_id: str, *, wave: int = 1) -> int:
@@ -33,7 +33,7 @@
     ).effects
 
 
-def _lose(log: FoldedLog, instance_id: str) -> tuple[Effect, ...]:
+def _fail_return(log: FoldedLog, instance_id: str) -> tuple[Effect, ...]:
     version = _stop(log, instance_id)
     cause = ReturnFailure.START_FAILED
     return log.must(
@@ -41,12 +41,12 @@
     ).effects
 
 
-def test_a_wave_ends_when_each_instance_had_its_turn() -> None:
+def test_a_wave_finishes_when_each_instance_is_maintained() -> None:
     log = small_fleet()
-    for instance_id in ALL[:-1]:
+    for instance_id in INSTANCES[:-1]:
         _maintain(log, instance_id)
     log.wait(500)
-    [_, finished] = _maintain(log, ALL[-1])
+    [_, finished] = _maintain(log, INSTANCES[-1])
     assert isinstance(finished, WaveFinished)
     assert finished.finished_ms - finished.started_ms == 500
     assert log.refused(log.drain("a0", wave=1)).version == 2
@@ -54,43 +54,42 @@
     assert log.state.waves.waves["desk"].number == 2
 
 
-def test_an_instance_has_one_turn_in_a_wave() -> None:
-    # A coordinator that wakes late drains a0 again; callers lose capacity for nothing.
+def test_an_instance_is_maintained_once_in_a_wave() -> None:
+    # A delayed coordinator drains a0 again, which would reduce capacity without need.
     log = small_fleet()
     _maintain(log, "a0")
     assert log.refused(log.drain("a0")).reason is RejectReason.WRONG_STATE
 
 
 def test_a_wave_halts_when_instances_do_not_come_back() -> None:
-    # A bad image breaks each instance that restarts. Every single stop is within the budget of
-    # its moment, so without the halt the wave would eat the pool down to its floor.
+    # A bad image breaks each restarted instance. Every single stop is within the budget, so
+    # without the halt the wave would reduce the pool to its minimum.
     log = small_fleet(min_serving=0)
-    _lose(log, "a0")
-    [_, halted] = _lose(log, "b0")
+    _fail_return(log, "a0")
+    [_, halted] = _fail_return(log, "b0")
     assert isinstance(halted, WaveHalted)
     assert halted.reason == "2 instances of desk did not come back in this wave"
     refusal = log.refused(log.drain("c0"))
     assert (refusal.reason, refusal.detail) == (RejectReason.WAVE_HALTED, halted.reason)
 
 
-def test_a_halted_wave_stops_nothing_that_is_drained_already() -> None:
+def test_a_halted_wave_does_not_stop_drained_instances() -> None:
     log = small_fleet(min_serving=0)
     log.put("care", maintenance(max_concurrent=3))
     log.quiesce("c0")
-    _lose(log, "a0")
-    _lose(log, "b0")
+    _fail_return(log, "a0")
+    _fail_return(log, "b0")
     assert log.refused(log.stop("c0")).reason is RejectReason.WAVE_HALTED
 
 
-def test_a_wave_that_its_last_failure_halts_ends_by_its_operators_edit() -> None:
-    # All others are maintained when the last two instances don't come back, and the wave halts.
-    # It isn't shown as finished before its operator has seen to it. The edit then has to end it:
-    # nothing is left to maintain, so no later record would.
+def test_an_edit_finishes_a_wave_that_its_last_failure_halted() -> None:
+    # The last two instances don't come back, and the wave halts. It must not be finished before an
+    # operator edits the entry; the edit has to finish it, since no later record would.
     log = small_fleet(min_serving=0)
     for instance_id in ("b1", "c0", "c1", "a1"):
         _maintain(log, instance_id)
-    _lose(log, "a0")
-    [_, halted] = _lose(log, "b0")
+    _fail_return(log, "a0")
+    [_, halted] = _fail_return(log, "b0")
     assert isinstance(halted, WaveHalted)
     assert not log.state.waves.waves["desk"].finished_ms
     log.now_ms += 1
@@ -100,19 +99,19 @@
 
 
 def _repair_under_way(log: FoldedLog) -> None:
-    """Have a0 fail, all others maintained or failed, and only a0's repair still under way."""
+    """Bring the log to a state where only the repair of a0 is left in the wave."""
     log.put("care", maintenance(max_failed_returns=3))
-    _lose(log, "a0")
+    _fail_return(log, "a0")
     log.must(log.drain("a0", purpose=Purpose.REPAIR))
     for instance_id in ("a1", "b1", "c0", "c1"):
         _maintain(log, instance_id)
-    _lose(log, "b0")
+    _fail_return(log, "b0")
     assert not log.state.waves.waves["desk"].finished_ms
 
 
-def test_a_repair_that_comes_back_last_ends_the_wave() -> None:
-    # An instance of the wave is being repaired while all others have their turn. Its return is
-    # the wave's last record; without the end the operator would see an open wave for ever.
+def test_a_repair_that_returns_last_finishes_the_wave() -> None:
+    # The return of a repaired instance is the wave's last record. If it didn't finish the wave,
+    # the wave would never finish.
     log = small_fleet(min_serving=0)
     _repair_under_way(log)
     for entry_id in sorted(set(log.drain_of("a0").waiting.values())):
@@ -123,7 +122,7 @@
     assert isinstance(log.must(body).effects[-1], WaveFinished)
 
 
-def test_a_repair_that_is_cancelled_last_ends_the_wave() -> None:
+def test_a_repair_that_is_cancelled_last_finishes_the_wave() -> None:
     log = small_fleet(min_serving=0)
     _repair_under_way(log)
     body = DrainCancel(
@@ -137,21 +136,21 @@
 
 def test_an_edit_of_the_maintenance_entry_resumes_a_halted_wave() -> None:
     log = small_fleet(min_serving=0)
-    _lose(log, "a0")
-    _lose(log, "b0")
+    _fail_return(log, "a0")
+    _fail_return(log, "b0")
     log.put("care", maintenance(max_concurrent=1))
     _maintain(log, "c0")
     assert log.state.waves.waves["desk"].halted_reason == ""
-    _lose(log, "c1")
+    _fail_return(log, "c1")
     assert log.state.waves.waves["desk"].failed == 1
 
 
-def test_a_halt_is_not_shown_any_more_once_an_edit_has_resumed_the_wave() -> None:
-    # An operator edits the entry and looks at the status before the next drain. A halt that is
-    # still shown reads as if the edit had not been taken.
+def test_a_halt_is_not_shown_after_an_edit_resumed_the_wave() -> None:
+    # A halt that is still shown between the edit and the next drain would suggest that the edit had
+    # no effect.
     log = small_fleet(min_serving=0)
-    _lose(log, "a0")
-    _lose(log, "b0")
+    _fail_return(log, "a0")
+    _fail_return(log, "b0")
     wave = log.state.waves.waves["desk"]
     assert active_halt_reason(wave, find_maintenance(log.state, "desk")) == wave.halted_reason != ""
     log.put("care", maintenance(max_concurrent=1))
@@ -164,11 +163,11 @@
     assert (refusal.reason, refusal.version) == (RejectReason.STALE_VERSION, 1)
 
 
-def test_a_wave_ends_when_its_last_instance_fails_instead() -> None:
-    # All but c1 had their turn. c1 fails by itself, or its repair does, and nothing is left to
-    # maintain; a wave that never ended would hold up the next one's start and its figures.
+def test_a_wave_finishes_when_its_last_instance_fails() -> None:
+    # c1 fails before its maintenance, and no instance is left to maintain. A wave that never
+    # finished would delay the next one.
     log = small_fleet()
-    for instance_id in ALL[:-1]:
+    for instance_id in INSTANCES[:-1]:
         _maintain(log, instance_id)
     seen = InstanceObserved(
         instance="c1", health=Health.FAILED, observer="entry-a", source=Source.PLATFORM
@@ -176,19 +175,19 @@
     assert isinstance(log.must(seen).effects[-1], WaveFinished)
 
 
-def test_a_wave_ends_when_its_last_instance_is_terminated() -> None:
+def test_a_wave_finishes_when_its_last_instance_is_terminated() -> None:
     log = small_fleet()
-    for instance_id in ALL[:-1]:
+    for instance_id in INSTANCES[:-1]:
         _maintain(log, instance_id)
     gone = InstanceGone(instance="c1", boot_id="c1.1")
     assert isinstance(log.must(gone).effects[-1], WaveFinished)
 
 
-def test_a_wave_ends_when_the_repair_of_its_last_instance_fails() -> None:
+def test_a_wave_finishes_when_the_repair_of_its_last_instance_fails() -> None:
     log = small_fleet(min_serving=0)
-    for instance_id in ALL[:-2]:
+    for instance_id in INSTANCES[:-2]:
         _maintain(log, instance_id)
-    _lose(log, "c1")
+    _fail_return(log, "c1")
     log.must(log.drain("c1", purpose=Purpose.REPAIR))
     log.must(log.ack("entry-a", "c1"))
     log.must(log.ack("entry-b", "c1"))
