--- a/tests/waves/driver.py
+++ b/tests/waves/driver.py
@@ -1,4 +1,4 @@
-"""Carries out waves by the production policy against a log in memory."""
+"""Runs waves with a policy against a log in memory."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 @dataclass(kw_only=True)
 class WaveDriver:
-    """A coordinator, entry instances that acknowledge at once, and a platform that reboots."""
+    """Simulates a coordinator, entry instances that acknowledge at once, and a platform."""
 
     log: FoldedLog
     policy_name: str = DEFAULT_POLICY
     reboot_ms: int = 10_000
-    silent: set[str] = field(default_factory=set)
+    unresponsive: set[str] = field(default_factory=set)
     lost: set[str] = field(default_factory=set)
-    """Instances that don't come back from their stop."""
-    back_at_ms: dict[str, int] = field(default_factory=dict)
+    """Instances that don't come back after their stop."""
+    returns_at_ms: dict[str, int] = field(default_factory=dict)
     refusals: list[Rejected] = field(default_factory=list)
 
     def tick(self) -> None:
-        """Let one second pass, with all that is due in it."""
+        """Advance the time by one second and do everything that is due."""
         self.log.now_ms += TICK_MS
         self._renew_leases()
         self._return_instances()
@@ -44,15 +44,15 @@
         for step in next_steps(self.log.state, self.log.now_ms, coordinator="entry-a"):
             self.log.must(step)
             if isinstance(step, StopIssued) and step.instance not in self.lost:
-                self.back_at_ms[step.instance] = self.log.now_ms + self.reboot_ms
+                self.returns_at_ms[step.instance] = self.log.now_ms + self.reboot_ms
 
     def run(self, *, ticks: int) -> None:
         for _ in range(ticks):
             self.tick()
 
-    def run_wave(self, pool: str, *, most_ticks: int = 2_000) -> int:
+    def run_wave(self, pool: str, *, max_ticks: int = 2_000) -> int:
         """Run until the pool's wave is finished and return its time in log milliseconds."""
-        for _ in range(most_ticks):
+        for _ in range(max_ticks):
             self.tick()
             wave = self.log.state.waves.waves.get(pool)
             if wave is not None and wave.finished_ms:
@@ -61,7 +61,10 @@
 
     def _renew_leases(self) -> None:
         for entry_id, entry in list(self.log.state.membership.entries.items()):
-            if entry_id not in self.silent and entry.lease_until_ms < self.log.now_ms + RENEW_MS:
+            if (
+                entry_id not in self.unresponsive
+                and entry.lease_until_ms < self.log.now_ms + RENEW_MS
+            ):
                 renewal = EntryRenew(
                     instance=entry_id,
                     incarnation=entry.incarnation,
@@ -70,17 +73,17 @@
                 self.log.must(renewal)
 
     def _return_instances(self) -> None:
-        for instance_id, at_ms in list(self.back_at_ms.items()):
+        for instance_id, at_ms in list(self.returns_at_ms.items()):
             if at_ms > self.log.now_ms:
                 continue
-            del self.back_at_ms[instance_id]
+            del self.returns_at_ms[instance_id]
             instance = self.log.instance(instance_id)
             boot_id = f"{instance.boot_id}+"
             version = instance.version
             self.log.must(Returned(instance=instance_id, expected_version=version, boot_id=boot_id))
 
     def _acknowledge(self) -> None:
-        for entry_id in self.log.state.membership.entries.keys() - self.silent:
+        for entry_id in self.log.state.membership.entries.keys() - self.unresponsive:
             waiting = sorted(
                 instance_id
                 for instance_id, drain in self.log.state.waves.drains.items()
--- a/tests/waves/processes.py
+++ b/tests/waves/processes.py
@@ -1,8 +1,7 @@
-"""Entry processes as the fold's rules demand them, for the state machine.
+"""Model of entry processes for the state machine.
 
-Each one folds the log by itself, lagging behind, and decides to send from its own copy alone.
-It may be cut off from the log and from other availability zones, or live on as an earlier
-incarnation of an id that somebody else has joined under.
+Each one folds the log with a lag and decides to send from its own copy of the state alone. It may
+be cut off from the log and other zones, or keep running after another process joined with its id.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 @dataclass(kw_only=True)
 class Request:
-    """A request in progress on a target, as part of a pool; it ends at its deadline at last."""
+    """A request in progress on a target of a pool; it ends at its deadline at the latest."""
 
     instance: str
     pool: str
@@ -28,7 +27,7 @@
 
 @dataclass(kw_only=True)
 class EntryProcess:
-    """One run of an entry instance."""
+    """One incarnation of an entry instance."""
 
     id: str
     zone: str
@@ -39,7 +38,7 @@
     requests: list[Request] = field(default_factory=list)
 
     def catch_up(self, records: list[LogRecord], count: int) -> None:
-        """Fold the next records; a process that is cut off sees none."""
+        """Fold the next records; a process that is cut off receives none."""
         if self.is_cut or not self.is_running:
             return
         start = self.replica.next_offset
@@ -47,12 +46,12 @@
             fold(self.replica, record)
 
     def lease(self) -> EntryInstance | None:
-        """Return its own membership, as far as it has read it back."""
+        """Return its own membership entry, if it has folded it."""
         entry = self.replica.membership.entries.get(self.id)
         return entry if entry is not None and entry.incarnation == self.incarnation else None
 
     def may_send(self, instance_id: str, now_ms: int) -> bool:
-        """Tell whether it would send a request to a target now."""
+        """Return whether it would send a request to a target now."""
         instance = self.replica.pools.instances.get(instance_id)
         lease = self.lease()
         if not self.is_running or lease is None or instance is None:
@@ -69,11 +68,11 @@
         self.requests.append(request)
 
     def end_requests(self, now_ms: int) -> None:
-        """End what has reached its deadline."""
+        """End the requests that have reached their deadlines."""
         self.requests = [item for item in self.requests if item.deadline_ms > now_ms]
 
     def acknowledgement(self) -> DrainAck | None:
-        """Return an acknowledgement of each drain that it knows and has nothing left on."""
+        """Return an acknowledgement of each known drain without requests in progress."""
         busy = {request.instance for request in self.requests}
         acked = tuple(
             AckedDrain(instance=instance_id, drain=drain.id)
--- a/tests/waves/test_policy.py
+++ b/tests/waves/test_policy.py
@@ -1,4 +1,4 @@
-"""Whom a wave drains next: least time within the budgets, and nothing that can't end."""
+"""Which instances a wave drains next: fewest rounds within the budgets, no blocked drains."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def _due(log: FoldedLog) -> FoldedLog:
-    """Let the period pass, with all leases renewed."""
+    """Advance the time by the maintenance period, with all leases renewed."""
     log.wait(HOUR_MS)
     for entry_id in list(log.state.membership.entries):
         log.must(join(entry_id))
@@ -33,7 +33,7 @@
 
 
 def _racked_fleet(racks: Racks, *, min_serving: int, max_concurrent: int = 100) -> FoldedLog:
-    """Return a fleet of one zone with so many instances in each rack, due now."""
+    """Return a fleet of one zone with racks of the given sizes, due for maintenance."""
     log = FoldedLog()
     log.put("desk", PoolEntry(owner=OWNER, size=max(sum(racks), min_serving)))
     log.put("stock", service(min_serving=min_serving))
@@ -62,16 +62,16 @@
 
 
 def test_draining_the_largest_rack_first_allows_more_drains() -> None:
-    # Racks of 4 and 2, with the larger in reserve and one that must serve. By name the small
-    # rack's instances might go first; the reserve stays at 4 then, and one drain fits.
+    # Racks of 4 and 2, with the larger one as reserve and one instance that must serve. If the
+    # small rack were drained first, the reserve would stay at 4, and only one drain would fit.
     log = _racked_fleet((2, 4), min_serving=1)
     chosen = [drain.instance for drain in _plan(log)]
     assert sorted(chosen) == ["r0n0", "r1n0", "r1n1", "r1n2"]
 
 
 def test_drains_that_lower_the_reserve_are_paired_with_drains_that_need_it() -> None:
-    # Two at a time, and only one from the largest rack makes room for another rack's. Spent in
-    # pairs on each other, they leave the small racks to be drained one by one: five rounds.
+    # Two drains at a time, and only one in the largest rack allows one in another rack. If the
+    # largest rack's drains are paired with each other, the small racks need a fifth round.
     rounds = {
         name: WaveDriver(
             log=_racked_fleet((3, 2, 1, 1), min_serving=3, max_concurrent=2),
@@ -85,8 +85,8 @@
 
 
 def test_concurrent_drains_are_spread_over_the_availability_zones() -> None:
-    # Both workers of zone a could be drained at once. Its callers would then be served across
-    # zones, and by nobody if the zone were cut off.
+    # Both workers of zone a could be drained at once. Its callers would then depend on other zones,
+    # and would not be served if the zone were cut off.
     log = _due(small_fleet(min_serving=0))
     log.put("care", maintenance(max_concurrent=3))
     assert [drain.instance for drain in _plan(log)] == ["a0", "b0", "c0"]
@@ -105,8 +105,8 @@
 
 
 def test_nothing_is_proposed_in_a_halted_wave() -> None:
-    # Two instances did not come back, and the wave is halted. Neither the next drain nor a
-    # repair, which would restart them on the same bad image, is proposed.
+    # Two instances did not come back, and the wave is halted. Neither the next drain nor a repair,
+    # which would restart them with the same bad image, may be proposed.
     log = _due(small_fleet(min_serving=0))
     driver = WaveDriver(log=log, lost={"a0", "b0"})
     driver.run(ticks=90)
@@ -116,7 +116,7 @@
 
 
 def test_a_zone_with_an_unresponsive_entry_instance_is_postponed() -> None:
-    # Zone a is cut off. A drain of its instances could not end, and would hold capacity back.
+    # Zone a is cut off. A drain of its instances could not end, and would only reduce capacity.
     log = small_fleet()
     log.wait(HOUR_MS)
     log.must(join("entry-b"))
@@ -207,7 +207,7 @@
 
 
 def _fits(racks: Racks, drained: Racks, min_serving: int) -> bool:
-    serving = [size - gone for size, gone in zip(racks, drained, strict=True)]
+    serving = [size - count for size, count in zip(racks, drained, strict=True)]
     return sum(serving) - max(serving) >= min_serving
 
 
@@ -220,7 +220,7 @@
             return 0
         options = [
             after
-            for drained in _shares(left)
+            for drained in _possible_drains(left)
             if _fits(racks, drained, min_serving)
             and (after := rounds(tuple(a - b for a, b in zip(left, drained, strict=True))))
             is not None
@@ -230,9 +230,9 @@
     return rounds(racks)
 
 
-def _shares(left: Racks) -> list[Racks]:
-    """Return each way to take at least one instance out of what is left in the racks."""
-    shares: list[Racks] = [()]
+def _possible_drains(left: Racks) -> list[Racks]:
+    """Return each way to drain at least one of the instances left in the racks."""
+    drains: list[Racks] = [()]
     for size in left:
-        shares = [(*share, taken) for share in shares for taken in range(size + 1)]
-    return [share for share in shares if any(share)]
+        drains = [(*drained, taken) for drained in drains for taken in range(size + 1)]
+    return [drained for drained in drains if any(drained)]
--- a/tests/waves/test_state_machine.py
+++ b/tests/waves/test_state_machine.py
@@ -1,7 +1,7 @@
-"""Random interleavings of everything that can happen to a drain, over several replicas.
+"""Random interleavings of events around drains, over several replicas.
 
-The promise is checked from outside of the fold: entry processes decide to send from their own,
-lagging copies, and none may reach a target that the log holds as quiesced, stopped or moved.
+Entry processes decide to send from their own lagging copies of the state. None may reach a target
+that is quiesced, stopped or moved according to the log.
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
                 fold(replica, record)
         self.note_snapshot()
 
-    # What goes into the log, and how: at once, late, twice, or never.
+    # Delivery of records to the log: at once, late, twice, or never.
 
     def note_snapshot(self) -> None:
         self.snapshots[self.log.state.next_offset] = canonical_bytes(self.log.state)
@@ -114,7 +114,7 @@
         version = self.replicas[replica].catalogue.versions.get(name, 0)
         self.say(EntryPut(name=name, expected_version=version, team=OWNER, entry=entry))
 
-    # Coordinators, each with a copy of the state that may be far behind.
+    # Coordinators, each with a copy of the state that may lag behind the log.
 
     @rule(replica=REPLICA, name=st.sampled_from(sorted(POLICIES)), is_stale=st.booleans())
     def plan_drains(self, replica: int, name: str, is_stale: bool) -> None:
@@ -182,7 +182,7 @@
         body = step(instance=instance_id, expected_version=version, coordinator="hasty")
         self.say(body, delivery)
 
-    # The platform and its list.
+    # Platform.
 
     @rule(instance_id=INSTANCE, is_new=st.booleans())
     def return_instance(self, instance_id: str, is_new: bool) -> None:
@@ -316,7 +316,7 @@
         self.replicas[replica] = from_canonical_bytes(data)
         assert canonical_bytes(self.replicas[replica]) == data
 
-    # What must always hold, seen from outside.
+    # Invariants.
 
     @invariant()
     def no_record_is_decided_twice(self) -> None:
