--- a/tests/waves/test_policy.py
+++ b/tests/waves/test_policy.py
@@ -1,4 +1,4 @@
-"""Whom a wave drains next: least time within the budgets, and nothing that can't end."""
+"""Which instances a wave drains next: fewest rounds within the budgets, no blocked drains."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def _due(log: FoldedLog) -> FoldedLog:
-    """Let the period pass, with all leases renewed."""
+    """Advance the time by the maintenance period, with all leases renewed."""
     log.wait(HOUR_MS)
     for entry_id in list(log.state.membership.entries):
         log.must(join(entry_id))
@@ -33,7 +33,7 @@
 
 
 def _racked_fleet(racks: Racks, *, min_serving: int, max_concurrent: int = 100) -> FoldedLog:
-    """Return a fleet of one zone with so many instances in each rack, due now."""
+    """Return a fleet of one zone with racks of the given sizes, due for maintenance."""
     log = FoldedLog()
     log.put("desk", PoolEntry(owner=OWNER, size=max(sum(racks), min_serving)))
     log.put("stock", service(min_serving=min_serving))
@@ -50,7 +50,7 @@
     assert [drain.instance for drain in _plan(_due(log))] == ["a0", "b0"]
 
 
-def test_an_operator_asks_for_a_wave_by_an_edit_and_gets_one() -> None:
+def test_an_edit_of_wave_request_starts_a_wave() -> None:
     log = small_fleet()
     driver = WaveDriver(log=log)
     driver.run(ticks=2)
@@ -61,17 +61,17 @@
     assert log.state.waves.waves["desk"].number == 1
 
 
-def test_draining_the_largest_rack_first_leaves_room_for_more() -> None:
-    # Racks of 4 and 2, with the larger in reserve and one that must serve. By name the small
-    # rack's instances might go first; the reserve stays at 4 then, and one drain fits.
+def test_draining_the_largest_rack_first_allows_more_drains() -> None:
+    # Racks of 4 and 2, with the larger one as reserve and one instance that must serve. If the
+    # small rack were drained first, the reserve would stay at 4, and only one drain would fit.
     log = _racked_fleet((2, 4), min_serving=1)
     chosen = [drain.instance for drain in _plan(log)]
     assert sorted(chosen) == ["r0n0", "r1n0", "r1n1", "r1n2"]
 
 
-def test_drains_that_make_room_are_paired_with_those_that_need_it() -> None:
-    # Two at a time, and only one from the largest rack makes room for another rack's. Spent in
-    # pairs on each other, they leave the small racks to be drained one by one: five rounds.
+def test_drains_that_lower_the_reserve_are_paired_with_drains_that_need_it() -> None:
+    # Two drains at a time, and only one in the largest rack allows one in another rack. If the
+    # largest rack's drains are paired with each other, the small racks need a fifth round.
     rounds = {
         name: WaveDriver(
             log=_racked_fleet((3, 2, 1, 1), min_serving=3, max_concurrent=2),
@@ -84,9 +84,9 @@
     assert rounds == {"spread": 4, "largest_rack_first": 5}
 
 
-def test_drains_side_by_side_are_spread_over_the_availability_zones() -> None:
-    # Both workers of zone a could be drained at once. Its callers would then be served across
-    # zones, and by nobody if the zone were cut off.
+def test_concurrent_drains_are_spread_over_the_availability_zones() -> None:
+    # Both workers of zone a could be drained at once. Its callers would then depend on other zones,
+    # and would not be served if the zone were cut off.
     log = _due(small_fleet(min_serving=0))
     log.put("care", maintenance(max_concurrent=3))
     assert [drain.instance for drain in _plan(log)] == ["a0", "b0", "c0"]
@@ -100,13 +100,13 @@
 
 
 @pytest.mark.parametrize("name", sorted(POLICIES))
-def test_no_policy_proposes_what_the_budget_has_no_room_for(name: str) -> None:
+def test_no_policy_exceeds_the_budget(name: str) -> None:
     assert _plan(_due(small_fleet(min_serving=5)), policy_name=name) == []
 
 
-def test_a_halted_wave_is_left_to_its_operators() -> None:
-    # Two instances did not come back, and the wave is halted. Neither the next drain nor a
-    # repair, which would restart them on the same bad image, is proposed.
+def test_nothing_is_proposed_in_a_halted_wave() -> None:
+    # Two instances did not come back, and the wave is halted. Neither the next drain nor a repair,
+    # which would restart them with the same bad image, may be proposed.
     log = _due(small_fleet(min_serving=0))
     driver = WaveDriver(log=log, lost={"a0", "b0"})
     driver.run(ticks=90)
@@ -115,8 +115,8 @@
     assert _plan(log) == []
 
 
-def test_a_zone_with_a_silent_entry_instance_is_left_for_later() -> None:
-    # Zone a is cut off. A drain of its instances could not end, and would hold capacity back.
+def test_a_zone_with_an_unresponsive_entry_instance_is_postponed() -> None:
+    # Zone a is cut off. A drain of its instances could not end, and would only reduce capacity.
     log = small_fleet()
     log.wait(HOUR_MS)
     log.must(join("entry-b"))
@@ -124,14 +124,14 @@
     assert [drain.instance for drain in _plan(log)] == ["b0", "c0"]
 
 
-def test_no_drain_starts_that_could_reach_into_counter_hours() -> None:
+def test_no_drain_starts_that_could_extend_into_counter_hours() -> None:
     log = _due(small_fleet())
     minute = log.now_ms // 60_000 % 1440
     log.put("care", maintenance(closed_from_minute=minute + 1, closed_to_minute=minute + 2))
     assert _plan(log) == []
 
 
-def test_a_failed_instance_is_repaired_but_not_for_ever() -> None:
+def test_repairs_of_a_failed_instance_are_limited() -> None:
     log = small_fleet()
     log.must(
         InstanceObserved(
@@ -146,7 +146,7 @@
     assert log.state.waves.drains == {}
 
 
-def test_a_pool_that_lacks_instances_gets_them_by_the_fewest_moves() -> None:
+def test_a_pool_that_lacks_instances_receives_them_by_the_fewest_moves() -> None:
     log = small_fleet()
     log.put("desk", PoolEntry(owner=OWNER, size=4))
     log.put("spare", PoolEntry(owner=OWNER, size=2))
@@ -175,13 +175,13 @@
 
 
 @pytest.mark.parametrize("name", sorted(POLICIES))
-def test_each_policy_finishes_a_wave_and_proposes_only_what_the_fold_takes(name: str) -> None:
+def test_each_policy_finishes_a_wave_and_proposes_only_what_the_fold_accepts(name: str) -> None:
     driver = WaveDriver(log=_due(small_fleet()), policy_name=name)
     driver.run_wave("desk")
     assert driver.refusals == []
 
 
-def test_ours_is_quicker_than_the_baselines() -> None:
+def test_the_production_policy_is_faster_than_the_baselines() -> None:
     times = {
         name: WaveDriver(log=_racked_fleet((4, 4, 4), min_serving=4), policy_name=name).run_wave(
             "desk"
@@ -207,7 +207,7 @@
 
 
 def _fits(racks: Racks, drained: Racks, min_serving: int) -> bool:
-    serving = [size - gone for size, gone in zip(racks, drained, strict=True)]
+    serving = [size - count for size, count in zip(racks, drained, strict=True)]
     return sum(serving) - max(serving) >= min_serving
 
 
@@ -220,7 +220,7 @@
             return 0
         options = [
             after
-            for drained in _shares(left)
+            for drained in _possible_drains(left)
             if _fits(racks, drained, min_serving)
             and (after := rounds(tuple(a - b for a, b in zip(left, drained, strict=True))))
             is not None
@@ -230,9 +230,9 @@
     return rounds(racks)
 
 
-def _shares(left: Racks) -> list[Racks]:
-    """Return each way to take at least one instance out of what is left in the racks."""
-    shares: list[Racks] = [()]
+def _possible_drains(left: Racks) -> list[Racks]:
+    """Return each way to drain at least one of the instances left in the racks."""
+    drains: list[Racks] = [()]
     for size in left:
-        shares = [(*share, taken) for share in shares for taken in range(size + 1)]
-    return [share for share in shares if any(share)]
+        drains = [(*drained, taken) for drained in drains for taken in range(size + 1)]
+    return [drained for drained in drains if any(drained)]
