--- a/heatherkeel/membership/__init__.py
+++ b/heatherkeel/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Entry instances, their routing leases, and what is known of who is alive."""
+"""Entry instances, their routing leases, and the links between them."""
--- a/heatherkeel/membership/choice.py
+++ b/heatherkeel/membership/choice.py
@@ -1,4 +1,4 @@
-"""Chooses which peers a process is linked with."""
+"""Selects the peers that a process is linked with."""
 
 from __future__ import annotations
 
@@ -7,40 +7,41 @@
 
 from heatherkeel.core.node import NodeState
 
-from .const import CROSS_ZONE_PEERS, LEARNED_KEPT_MS, LOST_KEPT_MS
+from .const import CROSS_ZONE_PEERS, DISCOVERED_PEER_KEPT_MS, LOST_PEER_KEPT_MS
 
 
-def choose_peers(
+def select_peers(
     node: NodeState, *, seeds: Iterable[str], own: str, now_ms: int
 ) -> dict[str, bool]:
-    """Return the addresses to be linked with; the value tells whether it is the own zone.
+    """Return the addresses to link with; the value is True for the own availability zone.
 
-    All of the own availability zone, where records are relayed, and a few of each other one,
-    another few for each process: with all of them the heartbeats of a large fleet would cost
-    more than everything else that control does.
+    All peers of the own zone are linked, as records are relayed there. Of each other zone only a
+    few are, which differ between processes; this bounds the heartbeats of a large fleet.
     """
-    chosen = dict.fromkeys(seeds, True)
+    selected = dict.fromkeys(seeds, True)
     by_zone: dict[str, list[str]] = {}
     for entry in node.fleet.membership.entries.values():
         by_zone.setdefault(entry.zone, []).append(entry.peer_address)
     for zone, addresses in by_zone.items():
         if zone == node.local.zone:
-            chosen.update(dict.fromkeys(addresses, True))
+            selected.update(dict.fromkeys(addresses, True))
             continue
         addresses.sort(key=lambda address: _rank(node.local.instance, address))
-        chosen.update(dict.fromkeys(addresses[:CROSS_ZONE_PEERS], False))
+        selected.update(dict.fromkeys(addresses[:CROSS_ZONE_PEERS], False))
     for peer in node.local.peers.peers.values():
-        if peer.zone == node.local.zone and now_ms - peer.heard_ms < LEARNED_KEPT_MS:
-            chosen[peer.address] = True
-    chosen.pop(own, None)
-    chosen.pop("", None)
-    return chosen
+        if peer.zone == node.local.zone and now_ms - peer.heard_ms < DISCOVERED_PEER_KEPT_MS:
+            selected[peer.address] = True
+    selected.pop(own, None)
+    selected.pop("", None)
+    return selected
 
 
-def forget_lost_peers(node: NodeState, now_ms: int) -> None:
-    """Forget peers that were replaced: with hundreds of restarts a day they would add up."""
+def remove_lost_peers(node: NodeState, now_ms: int) -> None:
+    """Remove peers without recent heartbeats, so that replaced ones don't accumulate."""
     peers = node.local.peers.peers
-    for name in [name for name, peer in peers.items() if now_ms - peer.heard_ms > LOST_KEPT_MS]:
+    for name in [
+        name for name, peer in peers.items() if now_ms - peer.heard_ms > LOST_PEER_KEPT_MS
+    ]:
         del peers[name]
 
 
--- a/heatherkeel/membership/const.py
+++ b/heatherkeel/membership/const.py
@@ -4,56 +4,59 @@
 
 from typing import Final
 
-LEASE_MARGIN_SHARE: Final = 10
-"""A lease is held for a tenth less than it was granted: two clocks never run quite alike."""
+LEASE_MARGIN_DIVISOR: Final = 10
+"""A lease is used for a tenth less than it was granted, to allow for clock drift."""
 
 PAUSE_CHECK_INTERVAL_MS: Final = 200
-PAUSE_BOUND_MS: Final = 1_000
-"""A timer that is later than this means that the process was paused, not only busy."""
+MIN_PAUSE_MS: Final = 1_000
+"""A timer that is at least this late means that the process was paused, not only busy."""
 
 HEARTBEAT_INTERVAL_MS: Final = 1_000
 CROSS_ZONE_TICKS: Final = 5
-"""Peers of other availability zones get every so many-th heartbeat."""
+"""Peers of other availability zones get a heartbeat only once in this many ticks."""
 
 CROSS_ZONE_PEERS: Final = 2
-"""So many peers of each other availability zone are linked, to bound what all links cost."""
+"""Most linked peers of each other availability zone."""
 
 MAX_LOADS: Final = 256
-"""Most targets whose load one heartbeat tells."""
+"""Most targets whose load one heartbeat reports."""
 
-MAX_QUIET_DRAINS: Final = 256
+MAX_QUIESCED_DRAINS: Final = 256
+"""Most drains that one heartbeat reports as quiesced."""
 
 MIN_SILENCE_MS: Final = 2_500
 MAX_SILENCE_MS: Final = 10_000
-"""Bounds of the silence after which a connection is replaced, whatever was observed."""
+"""Bounds of the learned time without an answer after which a connection is replaced."""
 
-QUEUED_MESSAGES: Final = 64
-"""Most messages that wait at one end of a link; what is more is lost and sent anew later."""
+MAX_QUEUED_MESSAGES: Final = 64
+"""Most messages that wait at one end of a link; further ones are dropped and sent again later."""
 
 MAX_MESSAGE_BYTES: Final = 1024 * 1024
-DRAIN_MESSAGES: Final = 256
-"""Messages that are handled before the other parts of the process get their turn."""
+MAX_MESSAGES_PER_DRAIN: Final = 256
+"""Messages that are handled before other tasks of the process may run."""
 
 RELAY_AFTER_MS: Final = 1_000
-"""A peer that is ahead for longer than this has records that the platform doesn't give us."""
+"""Records are requested from a peer when the log hasn't answered for this long."""
 
-RELAY_RECORDS: Final = 256
-RELAY_BYTES: Final = 512 * 1024
-KEPT_RECORDS: Final = 2_048
-KEPT_BYTES: Final = 1024 * 1024
-"""Newest records that are kept for peers, in number and bytes."""
+MAX_RELAYED_RECORDS: Final = 256
+MAX_RELAYED_BYTES: Final = 512 * 1024
+MAX_RECENT_RECORDS: Final = 2_048
+MAX_RECENT_BYTES: Final = 1024 * 1024
+"""Most records that are kept for peers, in number and bytes."""
 
 STATE_PART_BYTES: Final = 256 * 1024
-STATE_KEPT_MS: Final = 10_000
-"""How long one packed state is given out before a newer one is made."""
+PACKED_STATE_MAX_AGE_MS: Final = 10_000
+"""How long one packed state is provided to new fetches before a newer one is made."""
 
 FETCH_TIMEOUT_S: Final = 2.0
-LEARNED_KEPT_MS: Final = 30_000
-"""How long a peer that only its own heartbeats made known is linked after the last one."""
+DISCOVERED_PEER_KEPT_MS: Final = 30_000
+"""How long a peer that is known only by its heartbeats stays linked after the last one."""
 
-LOST_KEPT_MS: Final = 600_000
-FORGET_TICKS: Final = 60
-"""What a peer said is forgotten some time after its last heartbeat, looked at every minute."""
+LOST_PEER_KEPT_MS: Final = 600_000
+"""How long the last heartbeat of a peer is kept."""
+
+CLEANUP_TICKS: Final = 60
+"""Lost peers are removed once in this many ticks."""
 
 SPONSOR_LEASE_MS: Final = 6_000
-"""How long a newcomer may route after a heartbeat that its sponsor has answered."""
+"""How long a joining instance may route after a heartbeat that its sponsor has answered."""
--- a/heatherkeel/membership/events.py
+++ b/heatherkeel/membership/events.py
@@ -1,4 +1,4 @@
-"""Local events of this subject: what happens to the lease and the peers of one process."""
+"""Local events of this subject: changes of the lease and the peers of one process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseGranted(LocalEvent):
-    """The fold took a join or renewal that was begun at `sent_ms` of the monotonic clock."""
+    """The fold accepted a join or renewal that was sent at `sent_ms` of the monotonic clock."""
 
     sent_ms: int
     lease_ms: int
@@ -20,26 +20,26 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseRefused(LocalEvent):
-    """The fold knows this incarnation no more: it has to join again."""
+    """The fold no longer knows this incarnation, so it has to join again."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClockGap(LocalEvent):
-    """The process did not run for `gap_ms`: it was paused, and may not know it otherwise."""
+    """The process was paused and did not run for `gap_ms`."""
 
     gap_ms: int
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PeerHeard(LocalEvent):
-    """A peer's heartbeat came."""
+    """A heartbeat of a peer was received."""
 
     heartbeat: Heartbeat
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PeerLoad(LocalEvent):
-    """What a peer sends where: its own requests in progress by target."""
+    """A peer reported its own requests in progress by target."""
 
     instance: str
     zone: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NewcomerStarted(LocalEvent):
-    """A newcomer got the state of this process, which sponsors it from now on."""
+    """A joining instance is given the state of this process, which sponsors it from now on."""
 
     instance: str
     incarnation: str
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StartedFromPeer(LocalEvent):
-    """The state came from a peer, as the platform doesn't answer."""
+    """The state was fetched from a peer, because the platform doesn't answer."""
 
     sponsor: str
     sent_ms: int
@@ -73,4 +73,4 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseWanted(Effect):
-    """The lease should be renewed now, not at its next time."""
+    """The lease has to be renewed now instead of at the next interval."""
--- a/heatherkeel/membership/links.py
+++ b/heatherkeel/membership/links.py
@@ -1,8 +1,7 @@
-"""Links to peers: heartbeats, records of the log, and states for newcomers.
+"""Links to peers: heartbeats, records of the log, and states for joining instances.
 
-Each process binds one ROUTER and connects one DEALER to every chosen peer. What it sends goes
-out on the DEALER and is answered on the same connection, so a connection that has gone silent
-is known by its answers, and a fresh one takes its place.
+Each process binds one ROUTER and connects one DEALER to every selected peer. Requests go out on
+the DEALER and are answered on the same connection, so missing answers show that it is broken.
 """
 
 from __future__ import annotations
@@ -18,11 +17,11 @@
 from heatherkeel.core.state import FleetState
 from heatherkeel.helpers.clock import monotonic_ms
 
-from .choice import choose_peers, forget_lost_peers
+from .choice import remove_lost_peers, select_peers
 from .const import (
+    CLEANUP_TICKS,
     CROSS_ZONE_TICKS,
     FETCH_TIMEOUT_S,
-    FORGET_TICKS,
     MAX_LOADS,
     RELAY_AFTER_MS,
 )
@@ -43,7 +42,7 @@
 from .recent import RecentRecords
 from .reducer import find_incarnation
 from .sockets import EdgeSocket, Frames
-from .sponsor import quiet_drains
+from .sponsor import quiesced_drains
 from .transfer import StateFetch, StateProvider
 
 _LOGGER = logging.getLogger(__name__)
@@ -76,7 +75,7 @@
         self.ticks = 0
         self.nursery: trio.Nursery | None = None
         self.context: zmq.Context[zmq.Socket[bytes]] = zmq.Context(io_threads=1)
-        self.router = EdgeSocket(context=self.context, kind=zmq.ROUTER, handle=self._hear_request)
+        self.router = EdgeSocket(context=self.context, kind=zmq.ROUTER, handle=self._handle_request)
 
     def start(self, nursery: trio.Nursery) -> str:
         """Open the port and return its address as `host:port`."""
@@ -88,35 +87,35 @@
         return self.address
 
     def close(self) -> None:
-        """Close all links; messages under way are lost."""
+        """Close all links; messages in transit are lost."""
         for link in self.links.values():
             link.close()
         self.router.close()
         self.context.destroy(linger=0)
 
     async def async_tick(self) -> None:
-        """Link with the peers of now, replace silent connections, and send heartbeats."""
+        """Update the links, replace unresponsive connections, and send heartbeats."""
         now_ms = monotonic_ms()
-        wanted = choose_peers(self.node, seeds=self.seeds, own=self.address, now_ms=now_ms)
-        self._open_and_close(wanted)
-        if self.ticks % FORGET_TICKS == 0:
-            forget_lost_peers(self.node, now_ms)
-        beats_across = self.ticks % CROSS_ZONE_TICKS == 0
+        wanted = select_peers(self.node, seeds=self.seeds, own=self.address, now_ms=now_ms)
+        self._update_links(wanted)
+        if self.ticks % CLEANUP_TICKS == 0:
+            remove_lost_peers(self.node, now_ms)
+        is_cross_zone_tick = self.ticks % CROSS_ZONE_TICKS == 0
         self.ticks += 1
-        for address, is_near in wanted.items():
-            if is_near or beats_across:
-                self._beat(self.links[address], now_ms)
+        for address, is_own_zone in wanted.items():
+            if is_own_zone or is_cross_zone_tick:
+                self._send_heartbeat(self.links[address], now_ms)
 
     async def async_fetch_state(self) -> FleetState | None:
-        """Return the state of a peer of the own availability zone; None if none gives one."""
+        """Return the state of a peer of the own availability zone; None if no peer provides it."""
         sent_ms = monotonic_ms()
-        self._open_and_close(dict.fromkeys([*self.seeds, *self.links], True))
+        self._update_links(dict.fromkeys([*self.seeds, *self.links], True))
         for link in list(self.links.values()):
             self.fetch = StateFetch()
             with trio.move_on_after(FETCH_TIMEOUT_S):
                 await self._async_fetch_from(link, self.fetch)
             fetch, self.fetch = self.fetch, None
-            state = fetch.state() if fetch.is_whole else None
+            state = fetch.state() if fetch.is_complete else None
             if state is not None:
                 event = StartedFromPeer(
                     now_ms=monotonic_ms(),
@@ -129,11 +128,11 @@
         return None
 
     async def _async_fetch_from(self, link: PeerLink, fetch: StateFetch) -> None:
-        # The sponsor is known by the answer to a heartbeat, so that comes first.
+        # The answer to a heartbeat holds the sponsor's incarnation, which must be known first.
         while not link.incarnation:
-            self._beat(link, monotonic_ms())
+            self._send_heartbeat(link, monotonic_ms())
             await trio.sleep(0.05)
-        while not fetch.is_whole:
+        while not fetch.is_complete:
             wanted = StateWanted(
                 instance=self.node.local.instance,
                 incarnation=self.node.local.incarnation,
@@ -143,27 +142,29 @@
             )
             link.send(wanted)
             with trio.move_on_after(FETCH_TIMEOUT_S / 4):
-                await fetch.grown.wait()
+                await fetch.part_added.wait()
 
-    def _open_and_close(self, wanted: dict[str, bool]) -> None:
+    def _update_links(self, wanted: dict[str, bool]) -> None:
         for address in [address for address in self.links if address not in wanted]:
             self.links.pop(address).close()
         for address in wanted:
             if address not in self.links and self.nursery is not None:
-                link = PeerLink(context=self.context, address=address, hear=self._hear_answer)
+                link = PeerLink(
+                    context=self.context, address=address, handle_frames=self._handle_answer
+                )
                 link.open(self.nursery)
                 self.links[address] = link
 
-    def _beat(self, link: PeerLink, now_ms: int) -> None:
-        if link.is_silent(now_ms) and self.nursery is not None:
+    def _send_heartbeat(self, link: PeerLink, now_ms: int) -> None:
+        if link.is_unresponsive(now_ms) and self.nursery is not None:
             self.node.local.peers.replaced += 1
             extra = {"event": "peer_silent", "address": link.address}
-            _LOGGER.warning("a connection is silent", extra=extra)
+            _LOGGER.warning("a peer doesn't answer heartbeats; reconnecting", extra=extra)
             link.close()
             link.open(self.nursery)
-        link.beat(self._heartbeat(link, now_ms), now_ms)
+        link.send_heartbeat(self._make_heartbeat(link, now_ms), now_ms)
 
-    def _heartbeat(self, link: PeerLink, now_ms: int) -> Heartbeat:
+    def _make_heartbeat(self, link: PeerLink, now_ms: int) -> Heartbeat:
         local = self.node.local
         heard_ms = self.heard_at_ms()
         return Heartbeat(
@@ -174,40 +175,40 @@
             number=link.next_number(),
             offset_in_force=self.node.fleet.next_offset - 1,
             log_age_ms=-1 if heard_ms is None else now_ms - heard_ms,
-            loads=self._loads(),
-            quiet_drains=quiet_drains(self.node) if local.peers.sponsorship else [],
+            loads=self._target_loads(),
+            quiet_drains=quiesced_drains(self.node) if local.peers.sponsorship else [],
         )
 
-    def _loads(self) -> dict[str, int]:
+    def _target_loads(self) -> dict[str, int]:
         targets = self.node.local.routing.targets
         busy = [(view.in_progress, name) for name, view in targets.items() if view.in_progress]
         busy.sort(reverse=True)
         return {name: count for count, name in busy[:MAX_LOADS]}
 
-    def _hear_request(self, frames: Frames) -> None:
-        """Answer a message of a peer on the connection on which it came."""
+    def _handle_request(self, frames: Frames) -> None:
+        """Handle a request of a peer, and answer it on the same connection."""
         peer, *rest = frames
         answer: PeerMessage | None = None
         match self._decode(rest):
             case Heartbeat() as heartbeat:
-                answer = self._hear_heartbeat(heartbeat)
+                answer = self._handle_heartbeat(heartbeat)
             case RecordsWanted(zone=zone, from_offset=offset) if zone == self.node.local.zone:
                 answer = Records(records=self.recent.since(offset))
             case StateWanted(zone=zone) as wanted if zone == self.node.local.zone:
-                answer = self._give_state(wanted)
+                answer = self._provide_state(wanted)
             case _:
                 pass
         if answer is not None:
             self.router.send([peer, encode_message(answer)])
 
     def _decode(self, frames: Frames) -> PeerMessage | None:
-        """Decode one message; bytes of anything else are dropped and counted."""
+        """Decode one message; anything that doesn't decode is dropped and counted."""
         message = decode_message(frames[0]) if len(frames) == 1 else None
         if message is None:
             self.node.local.peers.undecodable += 1
         return message
 
-    def _hear_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatAck:
+    def _handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatAck:
         now_ms = monotonic_ms()
         local = self.node.local
         self.take(PeerHeard(now_ms=now_ms, heartbeat=heartbeat))
@@ -218,7 +219,7 @@
             loads=heartbeat.loads,
         )
         self.take(load)
-        self._ask_for_records(heartbeat, now_ms)
+        self._request_missing_records(heartbeat, now_ms)
         return HeartbeatAck(
             instance=local.instance,
             incarnation=local.incarnation,
@@ -227,60 +228,60 @@
             sponsors=heartbeat.incarnation in local.peers.sponsored,
         )
 
-    def _ask_for_records(self, heartbeat: Heartbeat, now_ms: int) -> None:
-        """Ask a peer of the own zone for what it has folded and the platform doesn't give us."""
+    def _request_missing_records(self, heartbeat: Heartbeat, now_ms: int) -> None:
+        """Request records that a peer of the own zone has folded while the log doesn't answer."""
         is_ahead = heartbeat.offset_in_force >= self.node.fleet.next_offset
         heard_ms = self.heard_at_ms()
         is_late = heard_ms is None or now_ms - heard_ms > RELAY_AFTER_MS
         link = self.links.get(heartbeat.address)
         if is_ahead and is_late and link is not None and heartbeat.zone == self.node.local.zone:
-            self._want_records(link)
+            self._request_records(link)
 
-    def _want_records(self, link: PeerLink) -> None:
+    def _request_records(self, link: PeerLink) -> None:
         offset = self.node.fleet.next_offset
         link.send(RecordsWanted(zone=self.node.local.zone, from_offset=offset))
 
-    def _give_state(self, wanted: StateWanted) -> StatePart | None:
-        """Give a part of the state, and sponsor the newcomer from its first part on.
+    def _provide_state(self, wanted: StateWanted) -> StatePart | None:
+        """Return a part of the state, and sponsor the joining instance from its first part on.
 
-        A process that the fold doesn't know itself can't hold a drain back for another one.
+        No drain waits for a process that the fold doesn't know, so it can't sponsor another one.
         """
         now_ms = monotonic_ms()
         local = self.node.local
         if find_incarnation(self.node.fleet.membership, local.incarnation) is None:
             return None
-        newcomer = NewcomerStarted(
+        started = NewcomerStarted(
             now_ms=now_ms, instance=wanted.instance, incarnation=wanted.incarnation
         )
         if find_incarnation(self.node.fleet.membership, wanted.incarnation) is None:
-            self.take(newcomer)
+            self.take(started)
         return self.provider.answer(wanted, now_ms)
 
-    def _hear_answer(self, link: PeerLink, frames: Frames) -> None:
-        """Take an answer that came on the connection to a peer."""
+    def _handle_answer(self, link: PeerLink, frames: Frames) -> None:
+        """Handle an answer that was received on the connection to a peer."""
         match self._decode(frames):
             case HeartbeatAck() as ack:
-                self._hear_ack(link, ack)
+                self._handle_ack(link, ack)
             case Records(records=records):
-                self._hear_records(link, records)
+                self._apply_records(link, records)
             case StatePart() as part if self.fetch is not None:
-                self.fetch.hear(part)
+                self.fetch.add_part(part)
             case _:
                 pass
 
-    def _hear_ack(self, link: PeerLink, ack: HeartbeatAck) -> None:
+    def _handle_ack(self, link: PeerLink, ack: HeartbeatAck) -> None:
         now_ms = monotonic_ms()
-        sent_ms = link.hear_ack(ack, now_ms)
+        sent_ms = link.record_ack(ack, now_ms)
         if ack.sponsors and sent_ms is not None:
             event = SponsorAnswered(now_ms=now_ms, sponsor=ack.incarnation, sent_ms=sent_ms)
             self.take(event)
 
-    def _hear_records(self, link: PeerLink, records: list[RelayedRecord]) -> None:
-        """Fold exactly the next records; the log itself is compared when it answers again."""
+    def _apply_records(self, link: PeerLink, records: list[RelayedRecord]) -> None:
+        """Fold the next records in order; they are compared with the log when it answers again."""
         for record in records:
             if record.offset != self.node.fleet.next_offset:
                 continue
             self.node.local.peers.relayed += 1
             self.take_relayed(LogRecord(offset=record.offset, at_ms=record.at_ms, data=record.data))
         if len(records) > 1:
-            self._want_records(link)
+            self._request_records(link)
--- a/heatherkeel/membership/listeners.py
+++ b/heatherkeel/membership/listeners.py
@@ -1,58 +1,56 @@
-"""Keeps the lease of this process by its own monotonic clock, and what peers say."""
+"""Maintains the local lease by the monotonic clock, and the last heartbeat of each peer."""
 
 from __future__ import annotations
 
 from heatherkeel.core.models import Effect
 from heatherkeel.core.node import NodeState, listens
 
-from .const import LEASE_MARGIN_SHARE
+from .const import LEASE_MARGIN_DIVISOR
 from .events import ClockGap, LeaseGranted, LeaseRefused, LeaseWanted, PeerHeard
 from .local import PeerView
 
 
 @listens(LeaseGranted)
-def hold_lease(node: NodeState, event: LeaseGranted) -> list[Effect]:
-    """Count the lease from before its renewal was sent.
+def extend_lease(node: NodeState, event: LeaseGranted) -> list[Effect]:
+    """Extend the lease, counted from the time when its renewal was sent.
 
-    The fold counts it from the record's append, which came later, so this process always ends
-    first, whatever the append and its answer took. Counted from the answer, it would send for
-    as long as the answer was under way after the others had taken its targets to be free.
-    The drain of a target waits for the longest request on top (`waves.acknowledgements`), so a
-    request that was sent just before the end is not cut.
+    The fold counts from the later append of the record, so the lease always ends here first.
+    Counted from the answer, this process could send to targets that others take to be free. A
+    drain also waits for the longest request (`waves.acknowledgements`), so a request that was
+    sent just before the end is not cut off.
     """
-    if event.sent_ms < node.local.lease.gap_seen_ms:
+    if event.sent_ms < node.local.lease.gap_detected_ms:
         return []
-    margin_ms = max(1, event.lease_ms // LEASE_MARGIN_SHARE)
+    margin_ms = max(1, event.lease_ms // LEASE_MARGIN_DIVISOR)
     until_ms = event.sent_ms + event.lease_ms - margin_ms
     node.local.lease.valid_until_ms = max(node.local.lease.valid_until_ms, until_ms)
     return []
 
 
 @listens(LeaseRefused)
-def lose_lease(node: NodeState, event: LeaseRefused) -> list[Effect]:
-    """Send nothing across availability zones until this incarnation has joined again."""
+def revoke_lease(node: NodeState, event: LeaseRefused) -> list[Effect]:
+    """Stop sending to other availability zones until this incarnation has joined again."""
     node.local.lease.valid_until_ms = 0
     return []
 
 
 @listens(ClockGap)
-def distrust_lease(node: NodeState, event: ClockGap) -> list[Effect]:
-    """Renew before anything is sent: what is known here is as old as the pause.
+def invalidate_lease(node: NodeState, event: ClockGap) -> list[Effect]:
+    """Invalidate the lease after a pause, even if it hasn't expired.
 
-    The monotonic clock goes on while a process is stopped, so a lease that ran out meanwhile is
-    seen without this. A pause within the lease is not: drains and moves were decided that this
-    process has not read, and it would send by its old state first. For the same reason the
-    answer to a renewal from before the pause counts no more.
+    Drains and moves may have been decided during the pause, and this process would still send
+    by its old state. So it needs a renewal that was sent after the pause; answers to earlier
+    ones are ignored.
     """
     node.local.lease.valid_until_ms = 0
-    node.local.lease.gap_seen_ms = event.now_ms
+    node.local.lease.gap_detected_ms = event.now_ms
     node.local.lease.gaps += 1
     return [LeaseWanted()]
 
 
 @listens(PeerHeard)
-def note_peer(node: NodeState, event: PeerHeard) -> list[Effect]:
-    """Keep what a peer said last."""
+def update_peer(node: NodeState, event: PeerHeard) -> list[Effect]:
+    """Store the last heartbeat of a peer."""
     heartbeat = event.heartbeat
     node.local.peers.peers[heartbeat.instance] = PeerView(
         incarnation=heartbeat.incarnation,
--- a/heatherkeel/membership/messages.py
+++ b/heatherkeel/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entry processes; every one may be lost."""
+"""Messages between entry processes; any of them may be lost."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 import msgspec
 from msgspec import Meta
 
-from .const import MAX_LOADS, MAX_QUIET_DRAINS
+from .const import MAX_LOADS, MAX_QUIESCED_DRAINS
 
 Short = Annotated[str, Meta(max_length=128)]
 Count = Annotated[int, Meta(ge=0)]
 
 
 class Heartbeat(msgspec.Struct, frozen=True, kw_only=True, tag="heartbeat"):
-    """Says that a process is alive, how far it has folded, and what it sends where.
+    """Reports that a process is alive, how far it has folded, and its requests in progress.
 
-    `log_age_ms` is the time since its last answer of the log, -1 if it never had one. `loads`
-    are its own requests in progress by target. `quiet_drains` are ids of drains that it has
-    folded and has nothing in progress for.
+    `log_age_ms` is the time since the log last answered it, -1 if it never did. `loads` are its
+    own requests in progress by target. `quiet_drains` are the ids of drains that it has folded
+    and for which it has no request in progress.
     """
 
     instance: Short
@@ -29,11 +29,11 @@
     offset_in_force: Annotated[int, Meta(ge=-1)]
     log_age_ms: Annotated[int, Meta(ge=-1)]
     loads: Annotated[dict[str, int], Meta(max_length=MAX_LOADS)] = {}
-    quiet_drains: Annotated[list[str], Meta(max_length=MAX_QUIET_DRAINS)] = []
+    quiet_drains: Annotated[list[str], Meta(max_length=MAX_QUIESCED_DRAINS)] = []
 
 
 class HeartbeatAck(msgspec.Struct, frozen=True, kw_only=True, tag="ack"):
-    """Answers heartbeat `number` on its own connection; `sponsors` says who stands in."""
+    """Answers heartbeat `number`; `sponsors` is True if the sender is sponsored."""
 
     instance: Short
     incarnation: Short
@@ -43,7 +43,7 @@
 
 
 class RecordsWanted(msgspec.Struct, frozen=True, kw_only=True, tag="records_wanted"):
-    """Asks for the records of the log from an offset on."""
+    """Requests the records of the log from an offset on."""
 
     zone: Short
     from_offset: Count
@@ -58,13 +58,13 @@
 
 
 class Records(msgspec.Struct, frozen=True, kw_only=True, tag="records"):
-    """Records in order; none if the first one asked for is no longer kept."""
+    """Records in order; empty if the first requested one is no longer kept."""
 
     records: list[RelayedRecord]
 
 
 class StateWanted(msgspec.Struct, frozen=True, kw_only=True, tag="state_wanted"):
-    """Asks for one part of a peer's state; `offset` 0 asks for its newest."""
+    """Requests one part of a peer's state; `offset` 0 requests the newest state."""
 
     instance: Short
     incarnation: Short
@@ -74,9 +74,9 @@
 
 
 class StatePart(msgspec.Struct, frozen=True, kw_only=True, tag="state_part"):
-    """One part of a packed state; `digest` is the SHA-256 of the unpacked whole.
+    """One part of a packed state; `digest` is the SHA-256 of the whole unpacked state.
 
-    `in_force` is the offset that the peer itself has folded by now.
+    `in_force` is the newest offset that the peer has folded.
     """
 
     offset: Count
@@ -94,12 +94,12 @@
 
 
 def encode_message(message: PeerMessage) -> bytes:
-    """Return the bytes of a message."""
+    """Encode a message."""
     return _ENCODER.encode(message)
 
 
 def decode_message(data: bytes) -> PeerMessage | None:
-    """Return a message; None for bytes that are none."""
+    """Decode a message; None if the bytes aren't a valid one."""
     try:
         return _DECODER.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
--- a/heatherkeel/membership/pause.py
+++ b/heatherkeel/membership/pause.py
@@ -1,4 +1,4 @@
-"""Notices that this process was paused, by the lateness of its own timer."""
+"""Detects that this process was paused, by a timer that is late."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from heatherkeel.helpers.clock import monotonic_ms
 
-from .const import PAUSE_BOUND_MS, PAUSE_CHECK_INTERVAL_MS
+from .const import MIN_PAUSE_MS, PAUSE_CHECK_INTERVAL_MS
 from .events import ClockGap
 
 _LOGGER = logging.getLogger(__name__)
@@ -18,14 +18,14 @@
 
     def __init__(self, *, take: Callable[[ClockGap], object]) -> None:
         self.take = take
-        self.seen_ms = monotonic_ms()
+        self.checked_ms = monotonic_ms()
 
     async def async_check(self) -> None:
-        """Look at the clock, and tell a gap."""
+        """Check the clock, and report a gap."""
         now_ms = monotonic_ms()
-        late_ms = now_ms - self.seen_ms - PAUSE_CHECK_INTERVAL_MS
-        self.seen_ms = now_ms
-        if late_ms < PAUSE_BOUND_MS:
+        late_ms = now_ms - self.checked_ms - PAUSE_CHECK_INTERVAL_MS
+        self.checked_ms = now_ms
+        if late_ms < MIN_PAUSE_MS:
             return
         _LOGGER.warning("paused", extra={"event": "clock_gap", "gap_ms": late_ms})
         self.take(ClockGap(now_ms=now_ms, gap_ms=late_ms))
--- a/heatherkeel/membership/peer_link.py
+++ b/heatherkeel/membership/peer_link.py
@@ -1,4 +1,4 @@
-"""The connection to one peer, and whether it is silent."""
+"""The connection to one peer, and the detection that it is unresponsive."""
 
 from __future__ import annotations
 
@@ -10,45 +10,45 @@
 
 from .messages import Heartbeat, HeartbeatAck, PeerMessage, encode_message
 from .sockets import EdgeSocket, Frames
-from .suspicion import SilenceBound
+from .suspicion import AckTimeout
 
 _LOGGER = logging.getLogger(__name__)
 
-REMEMBERED_HEARTBEATS = 16
+MAX_TRACKED_HEARTBEATS = 16
 
 
 class PeerLink:
-    """One DEALER connected to a peer's ROUTER; it is opened anew when no answer comes."""
+    """One DEALER connected to a peer's ROUTER; it is replaced when answers are missing."""
 
     def __init__(
         self,
         *,
         context: zmq.Context[zmq.Socket[bytes]],
         address: str,
-        hear: Callable[[PeerLink, Frames], None],
+        handle_frames: Callable[[PeerLink, Frames], None],
     ) -> None:
         self.context = context
         self.address = address
-        self.hear = hear
+        self.handle_frames = handle_frames
         self.incarnation = ""
-        """Of the process that answered last."""
+        """Incarnation of the process that answered last."""
         self.socket: EdgeSocket | None = None
-        self.silence = SilenceBound()
+        self.ack_timeout = AckTimeout()
         self.number = 0
         self.sent_ms: dict[int, int] = {}
-        self.heard_ms = 0
-        self.waiting_since_ms = 0
-        """When the first heartbeat without an answer was sent; 0 if all are answered."""
+        self.acked_ms = 0
+        self.unacked_since_ms = 0
+        """When the first unanswered heartbeat was sent; 0 if all are answered."""
 
     def open(self, nursery: trio.Nursery) -> None:
-        """Connect; an address that is none leaves the link without a socket.
+        """Connect; an invalid address leaves the link without a socket.
 
-        Addresses come from records and messages of other processes. One bad record must not end
+        Addresses come from records and messages of other processes. An invalid one must not end
         every process that reads it.
         """
-        self.waiting_since_ms = 0
-        self.heard_ms = 0
-        socket = EdgeSocket(context=self.context, kind=zmq.DEALER, handle=self._hear)
+        self.unacked_since_ms = 0
+        self.acked_ms = 0
+        socket = EdgeSocket(context=self.context, kind=zmq.DEALER, handle=self._handle_frames)
         try:
             socket.socket.connect(f"tcp://{self.address}")
         except zmq.ZMQError as err:
@@ -60,13 +60,13 @@
         self.socket = socket
 
     def close(self) -> None:
-        """Disconnect; what is under way is lost."""
+        """Disconnect; messages in transit are lost."""
         if self.socket is not None:
             self.socket.close()
             self.socket = None
 
     def send(self, message: PeerMessage) -> bool:
-        """Send a message that may be lost."""
+        """Send a message without waiting; it may be lost."""
         return self.socket is not None and self.socket.send([encode_message(message)])
 
     def next_number(self) -> int:
@@ -74,33 +74,33 @@
         self.number += 1
         return self.number
 
-    def beat(self, heartbeat: Heartbeat, now_ms: int) -> None:
-        """Send a heartbeat, and remember when."""
+    def send_heartbeat(self, heartbeat: Heartbeat, now_ms: int) -> None:
+        """Send a heartbeat, and store when it was sent."""
         if self.socket is None:
             return
         self.sent_ms[heartbeat.number] = now_ms
-        self.sent_ms.pop(heartbeat.number - REMEMBERED_HEARTBEATS, None)
-        self.waiting_since_ms = self.waiting_since_ms or now_ms
+        self.sent_ms.pop(heartbeat.number - MAX_TRACKED_HEARTBEATS, None)
+        self.unacked_since_ms = self.unacked_since_ms or now_ms
         self.send(heartbeat)
 
-    def hear_ack(self, ack: HeartbeatAck, now_ms: int) -> int | None:
-        """Note an answer, and return when its heartbeat was sent."""
-        if self.heard_ms:
-            self.silence.hear(now_ms - self.heard_ms)
-        self.heard_ms = now_ms
-        self.waiting_since_ms = 0
+    def record_ack(self, ack: HeartbeatAck, now_ms: int) -> int | None:
+        """Record an answer, and return when its heartbeat was sent."""
+        if self.acked_ms:
+            self.ack_timeout.record_interval(now_ms - self.acked_ms)
+        self.acked_ms = now_ms
+        self.unacked_since_ms = 0
         self.incarnation = ack.incarnation
         return self.sent_ms.pop(ack.number, None)
 
-    def is_silent(self, now_ms: int) -> bool:
-        """Say whether heartbeats were without an answer for too long.
+    def is_unresponsive(self, now_ms: int) -> bool:
+        """Return whether heartbeats have been unanswered for too long.
 
-        Something between both ends can lose track of a connection: nothing comes any more and no
-        error is told, while a new connection works.
+        A device between both ends can drop a connection without an error, while a new connection
+        works.
         """
-        if not self.waiting_since_ms:
+        if not self.unacked_since_ms:
             return False
-        return now_ms - self.waiting_since_ms > self.silence.bound_ms()
+        return now_ms - self.unacked_since_ms > self.ack_timeout.timeout_ms()
 
-    def _hear(self, frames: Frames) -> None:
-        self.hear(self, frames)
+    def _handle_frames(self, frames: Frames) -> None:
+        self.handle_frames(self, frames)
--- a/heatherkeel/membership/reducer.py
+++ b/heatherkeel/membership/reducer.py
@@ -1,4 +1,4 @@
-"""Decides which entry instances may route, and until when."""
+"""Folds joins, renewals and departures of entry instances into their routing leases."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @handles("membership.join", EntryJoin)
 def join(state: FleetState, meta: RecordMeta, body: EntryJoin) -> Result[Accepted, Rejected]:
-    """Grant a routing lease to a new incarnation; it replaces an older one of the same id."""
+    """Grant a routing lease to an incarnation, which replaces an earlier one of the same id."""
     known = find_incarnation(state.membership, body.incarnation)
     if known is not None and (known.instance, known.zone) != (body.instance, body.zone):
         return Err(Rejected(reason=RejectReason.CONFLICT, detail=known.instance))
@@ -37,10 +37,10 @@
 
 
 def _supersede(membership: MembershipState, body: EntryJoin) -> None:
-    """Keep the earlier incarnation in mind when a new one takes over its id.
+    """Keep the earlier incarnation when a new one takes over its id.
 
-    The earlier one may be cut off and go on serving targets of its own availability zone. If it
-    were forgotten, such a target would be stopped with its requests in progress.
+    The earlier one may be cut off and still send to targets of its own availability zone. If it
+    were removed, such a target could be stopped with requests in progress.
     """
     current = membership.entries.get(body.instance)
     if current is not None and current.incarnation != body.incarnation:
@@ -62,13 +62,13 @@
 
 @handles("membership.leave", EntryLeave)
 def leave(state: FleetState, meta: RecordMeta, body: EntryLeave) -> Result[Accepted, Rejected]:
-    """Remove an incarnation that says it has nothing in progress any more."""
+    """Remove an incarnation that reports that it has no request in progress."""
     return _remove(state, meta, instance=body.instance, incarnation=body.incarnation)
 
 
 @handles("membership.gone", EntryGone)
 def gone(state: FleetState, meta: RecordMeta, body: EntryGone) -> Result[Accepted, Rejected]:
-    """Remove an incarnation that the platform says is terminated."""
+    """Remove an incarnation that the platform reports as terminated."""
     return _remove(state, meta, instance=body.instance, incarnation=body.incarnation)
 
 
--- a/heatherkeel/membership/sockets.py
+++ b/heatherkeel/membership/sockets.py
@@ -9,24 +9,24 @@
 import trio
 import zmq
 
-from .const import DRAIN_MESSAGES, MAX_MESSAGE_BYTES, QUEUED_MESSAGES
+from .const import MAX_MESSAGE_BYTES, MAX_MESSAGES_PER_DRAIN, MAX_QUEUED_MESSAGES
 
 _LOGGER = logging.getLogger(__name__)
 
 Frames = list[bytes]
-ZMQ_HEARTBEAT_MS = 1_000
-ZMQ_SILENCE_MS = 5_000
+ZMQ_HEARTBEAT_INTERVAL_MS = 1_000
+ZMQ_HEARTBEAT_TIMEOUT_MS = 5_000
 RECONNECT_MS = 100
-LONGEST_RECONNECT_MS = 5_000
+MAX_RECONNECT_MS = 5_000
 
 
 class EdgeSocket:
     """One ZeroMQ socket; `handle` gets the frames of every message.
 
-    The library's descriptor is edge-triggered: it tells once that something happened, and any
-    call on the socket, also a send, may use that up. So after each wake-up the socket is read
-    until it would block, and after each send its events are looked at again. Without the second
-    a message that comes during a send lies there until the next one, perhaps for ever.
+    ZeroMQ's file descriptor is edge-triggered, and any call on the socket, including a send, may
+    consume the edge. So the socket is read until it would block after each wake-up, and its
+    events are checked again after each send. Otherwise a message that arrives during a send
+    would stay unread until the next one.
     """
 
     def __init__(
@@ -42,27 +42,27 @@
         self.scope = trio.CancelScope()
         self.nursery: trio.Nursery | None = None
         self.dropped = 0
-        """Messages that found their queue full."""
+        """Messages that couldn't be sent without waiting."""
         for option, value in (
             (zmq.LINGER, 0),
             (zmq.IMMEDIATE, 1 if kind == zmq.DEALER else 0),
-            (zmq.SNDHWM, QUEUED_MESSAGES),
-            (zmq.RCVHWM, QUEUED_MESSAGES),
+            (zmq.SNDHWM, MAX_QUEUED_MESSAGES),
+            (zmq.RCVHWM, MAX_QUEUED_MESSAGES),
             (zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES),
-            (zmq.HEARTBEAT_IVL, ZMQ_HEARTBEAT_MS),
-            (zmq.HEARTBEAT_TIMEOUT, ZMQ_SILENCE_MS),
+            (zmq.HEARTBEAT_IVL, ZMQ_HEARTBEAT_INTERVAL_MS),
+            (zmq.HEARTBEAT_TIMEOUT, ZMQ_HEARTBEAT_TIMEOUT_MS),
             (zmq.RECONNECT_IVL, RECONNECT_MS),
-            (zmq.RECONNECT_IVL_MAX, LONGEST_RECONNECT_MS),
+            (zmq.RECONNECT_IVL_MAX, MAX_RECONNECT_MS),
         ):
             self.socket.setsockopt(option, value)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin to receive."""
+        """Start receiving."""
         self.nursery = nursery
         nursery.start_soon(self._async_run)
 
     def close(self) -> None:
-        """Close the socket; what waits in it is lost."""
+        """Close the socket; queued messages are lost."""
         if self.socket.closed:
             return
         self.scope.cancel()
@@ -91,7 +91,7 @@
                     await trio.lowlevel.wait_readable(self.socket.fileno())
 
     def _drain_soon(self) -> None:
-        """Handle in a task of its own what came during a send."""
+        """Start a task that handles messages that arrived during a send."""
         if self.draining or self.socket.closed or self.nursery is None:
             return
         if self._has_message():
@@ -102,12 +102,12 @@
             await trio.lowlevel.checkpoint()
 
     def _drain(self) -> bool:
-        """Handle what has come; True if there may be more."""
+        """Handle received messages; return True if there may be more."""
         if self.draining:
             return False
         self.draining = True
         try:
-            for _ in range(DRAIN_MESSAGES):
+            for _ in range(MAX_MESSAGES_PER_DRAIN):
                 if self.socket.closed or not self._has_message():
                     return False
                 self.handle(self.socket.recv_multipart(zmq.NOBLOCK))
--- a/tests/membership/test_lease.py
+++ b/tests/membership/test_lease.py
@@ -1,4 +1,4 @@
-"""The own routing lease ends before the fold says so, whatever is slow, lost or paused."""
+"""The local routing lease ends before it ends in the fold, despite delays, loss and pauses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from heatherkeel.core.node import LocalState, NodeState, reduce
 from heatherkeel.helpers.timers import TimerService
 from heatherkeel.membership import pause
-from heatherkeel.membership.const import PAUSE_BOUND_MS, PAUSE_CHECK_INTERVAL_MS
+from heatherkeel.membership.const import MIN_PAUSE_MS, PAUSE_CHECK_INTERVAL_MS
 from heatherkeel.membership.events import ClockGap, LeaseGranted, LeaseRefused, LeaseWanted
 from heatherkeel.membership.pause import PauseWatch
 from tests.fleetlog.fake import run
@@ -26,11 +26,11 @@
     lease_ms=st.integers(100, 60_000),
     trips=st.lists(st.tuples(st.integers(0, 9_000), st.integers(0, 9_000)), max_size=6),
 )
-def test_the_lease_ends_here_before_it_ends_in_the_fold(
+def test_the_lease_ends_locally_before_it_ends_in_the_fold(
     lease_ms: int, trips: list[tuple[int, int]]
 ) -> None:
-    # A renewal takes its time to the log, and its answer takes its time back. Whatever both
-    # take, this process must have stopped sending when the fold lets a target be stopped.
+    # Renewals and their answers are delayed. In every case this process must have stopped sending
+    # when the fold allows a target to be stopped.
     node = make_node()
     now_ms = 0
     for to_log_ms, back_ms in trips:
@@ -48,8 +48,8 @@
 
 
 def test_after_a_pause_only_a_new_renewal_counts() -> None:
-    # The process is stopped while a renewal is under way, and thawed. Its answer comes at once,
-    # but it speaks of the time before the pause: drains since then are not folded here.
+    # A process is paused while a renewal is in transit. The answer must not extend the lease, as
+    # drains that were decided during the pause are not folded here.
     node = make_node()
     reduce(node, LeaseGranted(now_ms=0, sent_ms=0, lease_ms=60_000))
     assert reduce(node, ClockGap(now_ms=9_000, gap_ms=8_000)) == [LeaseWanted()]
@@ -66,23 +66,23 @@
     assert node.local.lease.valid_until_ms == 0
 
 
-def test_a_pause_is_noticed_and_a_busy_loop_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The process is stopped between two calls of its timer. Its clock went on meanwhile.
+def test_a_pause_is_detected_and_a_busy_loop_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The process is paused between two calls of its timer, while the monotonic clock goes on.
     now = [0]
     monkeypatch.setattr(pause, "monotonic_ms", lambda: now[0])
-    told: list[ClockGap] = []
+    gaps: list[ClockGap] = []
 
     async def scenario() -> None:
-        watch = PauseWatch(take=told.append)
-        for late_ms in (0, PAUSE_BOUND_MS - 1, 5_000, 0):
+        watch = PauseWatch(take=gaps.append)
+        for late_ms in (0, MIN_PAUSE_MS - 1, 5_000, 0):
             now[0] += PAUSE_CHECK_INTERVAL_MS + late_ms
             await watch.async_check()
 
     run(scenario)
-    assert [gap.gap_ms for gap in told] == [5_000]
+    assert [gap.gap_ms for gap in gaps] == [5_000]
 
 
-def test_a_woken_timer_is_called_now_and_never_twice_at_once() -> None:
+def test_a_woken_timer_is_called_at_once_and_never_concurrently() -> None:
     calls: list[float] = []
 
     async def async_call() -> None:
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -1,4 +1,4 @@
-"""Links between two processes' worth of peers, over real sockets on loopback."""
+"""Links between peers, over real sockets on the loopback interface."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from heatherkeel.core.reducer import fold
 from heatherkeel.core.state import canonical_bytes
 from heatherkeel.helpers.clock import monotonic_ms
-from heatherkeel.membership.choice import choose_peers, forget_lost_peers
+from heatherkeel.membership.choice import remove_lost_peers, select_peers
 from heatherkeel.membership.const import (
     CROSS_ZONE_PEERS,
-    LEARNED_KEPT_MS,
-    LOST_KEPT_MS,
+    DISCOVERED_PEER_KEPT_MS,
+    LOST_PEER_KEPT_MS,
     MAX_MESSAGE_BYTES,
     MAX_SILENCE_MS,
     MIN_SILENCE_MS,
@@ -28,11 +28,11 @@
 from heatherkeel.membership.local import PeerView
 from heatherkeel.membership.models import EntryInstance, EntryJoin
 from heatherkeel.membership.recent import RecentRecords
-from heatherkeel.membership.suspicion import SilenceBound
+from heatherkeel.membership.suspicion import AckTimeout
 
 
 class Peer:
-    """One entry process as its peers see it."""
+    """The links and the fold of one entry process."""
 
     def __init__(self, name: str, *, zone: str = "a", seeds: list[str] | None = None) -> None:
         self.node = NodeState(local=LocalState(instance=name, zone=zone, incarnation=f"i-{name}"))
@@ -62,7 +62,7 @@
 
 @asynccontextmanager
 async def opened(*peers: Peer) -> AsyncIterator[trio.Nursery]:
-    """Open the peers' ports, let each be a member of its own fold, and close them after."""
+    """Open the ports of the peers, let each join its own fold, and close them at the end."""
     try:
         with trio.fail_after(10):
             async with trio.open_nursery() as nursery:
@@ -84,9 +84,9 @@
         await trio.sleep(0.02)
 
 
-def test_a_peer_of_the_own_zone_gives_the_next_records_and_no_other_zone_does() -> None:
-    # One entry instance has no way to the platform. Its peer in the same availability zone is
-    # ahead; it asks for exactly the next records and folds them. It asks nobody else.
+def test_only_a_peer_of_the_own_zone_relays_records() -> None:
+    # An entry instance that can't reach the platform must request the records that it lacks from
+    # a peer of its own availability zone, and from no other zone.
     async def scenario() -> None:
         near, late, far = Peer("e-1"), Peer("e-2"), Peer("e-3", zone="b")
         async with opened(near, late, far):
@@ -104,48 +104,48 @@
     trio.run(scenario)
 
 
-def test_a_newcomer_gets_a_whole_state_and_a_sponsor() -> None:
-    # The platform is down. A newcomer asks its seeds: one address where nobody is, then a peer.
+def test_a_joining_instance_gets_a_complete_state_and_a_sponsor() -> None:
+    # While the platform is down, a joining instance fetches the state of a peer.
     async def scenario() -> None:
         peer = Peer("e-1")
-        newcomer = Peer("e-9")
+        joining = Peer("e-9")
         async with opened(peer):
             for number in range(3_000):
                 peer.join(f"x-{number}", "")
-            newcomer.links.seeds = [peer.links.address]
+            joining.links.seeds = [peer.links.address]
             async with trio.open_nursery() as nursery:
-                newcomer.links.start(nursery)
-                state = await newcomer.links.async_fetch_state()
+                joining.links.start(nursery)
+                state = await joining.links.async_fetch_state()
                 nursery.cancel_scope.cancel()
-            newcomer.links.close()
+            joining.links.close()
         assert state is not None
         assert canonical_bytes(state) == canonical_bytes(peer.node.fleet)
         assert list(peer.node.local.peers.sponsored) == ["i-e-9"]
-        sponsorship = newcomer.node.local.peers.sponsorship
+        sponsorship = joining.node.local.peers.sponsorship
         assert sponsorship is not None and sponsorship.sponsor == "i-e-1"
 
     trio.run(scenario)
 
 
-def test_only_a_member_of_the_fold_and_of_the_own_zone_gives_its_state() -> None:
-    # A process that the fold doesn't know can't hold a drain back for another one; one in
-    # another availability zone would be waited for only until its lease ends.
+def test_only_a_known_instance_of_the_own_zone_provides_its_state() -> None:
+    # Drains don't wait for a process that the fold doesn't know, and wait for one in another
+    # availability zone only until its lease ends, so neither may sponsor.
     async def scenario() -> None:
-        stranger, far = Peer("e-1"), Peer("e-2", zone="b")
-        newcomer = Peer("e-9")
-        async with opened(stranger, far) as nursery:
-            stranger.node.fleet = type(stranger.node.fleet)()
-            newcomer.links.seeds = [stranger.links.address, far.links.address]
-            newcomer.links.start(nursery)
-            assert await newcomer.links.async_fetch_state() is None
-            newcomer.links.close()
-        assert not stranger.node.local.peers.sponsored and not far.node.local.peers.sponsored
+        unknown, far = Peer("e-1"), Peer("e-2", zone="b")
+        joining = Peer("e-9")
+        async with opened(unknown, far) as nursery:
+            unknown.node.fleet = type(unknown.node.fleet)()
+            joining.links.seeds = [unknown.links.address, far.links.address]
+            joining.links.start(nursery)
+            assert await joining.links.async_fetch_state() is None
+            joining.links.close()
+        assert not unknown.node.local.peers.sponsored and not far.node.local.peers.sponsored
 
     trio.run(scenario)
 
 
-def test_bytes_that_are_no_message_are_dropped_and_counted() -> None:
-    # Anything can connect to the port: noise, too many frames, a message over the limit.
+def test_invalid_messages_are_dropped_and_counted() -> None:
+    # Anything can connect to the port and send noise, extra frames or oversized messages.
     async def scenario() -> None:
         peer, other = Peer("e-1"), Peer("e-2", seeds=[])
         async with opened(peer, other):
@@ -166,9 +166,9 @@
     trio.run(scenario)
 
 
-def test_a_bad_address_in_a_record_ends_no_process() -> None:
-    # An entry instance joins with an address that is none. Every other one reads the record and
-    # tries to connect there; it must go on, and be linked with the rest.
+def test_an_invalid_address_in_a_record_ends_no_process() -> None:
+    # Every entry instance connects to the addresses in join records. An invalid one must not end
+    # the process or prevent the other links.
     async def scenario() -> None:
         peer, other = Peer("e-1"), Peer("e-2")
         async with opened(peer, other):
@@ -180,9 +180,9 @@
     trio.run(scenario)
 
 
-def test_only_some_peers_of_other_zones_are_linked_and_lost_ones_are_forgotten() -> None:
-    # 24 availability zones with ten entry instances each: heartbeats between all of them would
-    # cost more than all other control. Replaced peers must not add up for ever either.
+def test_only_some_peers_of_other_zones_are_linked_and_lost_ones_are_removed() -> None:
+    # Heartbeats between all instances of 24 zones would cost too much, and replaced peers must not
+    # accumulate.
     node = NodeState(local=LocalState(instance="e-1", zone="z-0", incarnation="1"))
     for number in range(240):
         entry = EntryInstance(
@@ -194,7 +194,7 @@
             lease_until_ms=1,
         )
         node.fleet.membership.entries[entry.instance] = entry
-    chosen = choose_peers(node, seeds=["10.9.9.9:1"], own="10.0.0.0:1", now_ms=0)
+    chosen = select_peers(node, seeds=["10.9.9.9:1"], own="10.0.0.0:1", now_ms=0)
     assert sum(chosen.values()) == 9 + 1
     assert len(chosen) == 10 + 23 * CROSS_ZONE_PEERS
     view = PeerView(
@@ -206,29 +206,29 @@
         log_age_ms=0,
     )
     node.local.peers.peers["lost"] = view
-    assert "10.8.8.8:1" in choose_peers(node, seeds=[], own="", now_ms=LEARNED_KEPT_MS - 1)
-    assert "10.8.8.8:1" not in choose_peers(node, seeds=[], own="", now_ms=LEARNED_KEPT_MS)
-    forget_lost_peers(node, LOST_KEPT_MS)
+    assert "10.8.8.8:1" in select_peers(node, seeds=[], own="", now_ms=DISCOVERED_PEER_KEPT_MS - 1)
+    assert "10.8.8.8:1" not in select_peers(node, seeds=[], own="", now_ms=DISCOVERED_PEER_KEPT_MS)
+    remove_lost_peers(node, LOST_PEER_KEPT_MS)
     assert "lost" in node.local.peers.peers
-    forget_lost_peers(node, LOST_KEPT_MS + 1)
+    remove_lost_peers(node, LOST_PEER_KEPT_MS + 1)
     assert not node.local.peers.peers
 
 
-def test_the_silence_bound_follows_the_link_between_its_limits() -> None:
-    # A peer far off answers every 5 s; taken for silent, its connection would be replaced again
-    # and again. One that is near must not be waited for as long.
-    near, far = SilenceBound(), SilenceBound()
+def test_the_ack_timeout_adapts_within_its_bounds() -> None:
+    # The connection to a slow peer must not be replaced repeatedly, and a fast peer must be found
+    # unresponsive sooner.
+    near, far = AckTimeout(), AckTimeout()
     for _ in range(100):
-        near.hear(1_000)
-        far.hear(5_000)
-    assert near.bound_ms() == MIN_SILENCE_MS and 5_000 <= far.bound_ms() < MAX_SILENCE_MS
-    far.hear(3_600_000)
-    assert far.bound_ms() <= MAX_SILENCE_MS
+        near.record_interval(1_000)
+        far.record_interval(5_000)
+    assert near.timeout_ms() == MIN_SILENCE_MS and 5_000 <= far.timeout_ms() < MAX_SILENCE_MS
+    far.record_interval(3_600_000)
+    assert far.timeout_ms() <= MAX_SILENCE_MS
 
 
-def test_a_silent_connection_is_replaced_by_a_fresh_one() -> None:
-    # Something between two peers loses track of their connection: bytes vanish, no error comes,
-    # and a new connection would work. The sender finds it by its missing answers.
+def test_an_unresponsive_connection_is_replaced() -> None:
+    # A connection drops all messages without an error, while a new one would work. The sender
+    # must detect it by the missing answers.
     async def scenario() -> None:
         peer, other = Peer("e-1"), Peer("e-2")
         async with opened(peer, other):
@@ -239,7 +239,7 @@
             assert old is not None
             old.send = lambda frames: True  # type: ignore[method-assign]
             heard_ms = peer.node.local.peers.peers["e-2"].heard_ms
-            link.waiting_since_ms = monotonic_ms() - 60_000
+            link.unacked_since_ms = monotonic_ms() - 60_000
             await tick_until(lambda: peer.node.local.peers.peers["e-2"].heard_ms > heard_ms, other)
             assert link.socket is not old and other.node.local.peers.replaced == 1
             assert old.socket.closed
@@ -247,9 +247,9 @@
     trio.run(scenario)
 
 
-def test_no_message_lies_unread_while_both_sides_send() -> None:
-    # The library's descriptor tells only once. Both sides send at the same time, thousands of
-    # times; a send uses up the sign of a message that came, which must be read all the same.
+def test_no_message_stays_unread_while_both_sides_send() -> None:
+    # ZeroMQ's descriptor is edge-triggered, and a send can consume the edge of a received message.
+    # That message must be read all the same.
     async def scenario() -> None:
         left, right = Peer("e-1"), Peer("e-2")
         async with opened(left, right):
@@ -258,10 +258,12 @@
             links = [next(iter(peer.links.links.values())) for peer in (left, right)]
             for _ in range(2_000):
                 for link, peer in zip(links, (left, right), strict=True):
-                    link.beat(peer.links._heartbeat(link, monotonic_ms()), monotonic_ms())
+                    link.send_heartbeat(
+                        peer.links._make_heartbeat(link, monotonic_ms()), monotonic_ms()
+                    )
                 await trio.lowlevel.checkpoint()
             with trio.fail_after(10):
-                while any(link.waiting_since_ms for link in links):
+                while any(link.unacked_since_ms for link in links):
                     await trio.sleep(0.01)
 
     trio.run(scenario)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Entry instances join, renew and leave; an earlier incarnation is not forgotten."""
+"""Entry instances join, renew and leave, and earlier incarnations are kept."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_a_replaced_incarnation_can_only_join_again() -> None:
-    # The old process wakes from a pause and renews. It must learn that it may not route.
+    # A replaced process that resumes after a pause must not be able to renew its lease.
     log = FoldedLog()
     log.must(join("entry-a"))
     log.must(join("entry-a", incarnation="2"))
@@ -28,19 +28,19 @@
 
 
 def test_an_incarnation_belongs_to_one_instance_and_zone() -> None:
-    # With another zone under the same name, a process could be released from a wait that its
-    # own zone's targets still need.
+    # If an incarnation could change its zone, drains of targets in its old zone could stop
+    # waiting for it too early.
     log = FoldedLog()
     log.must(join("entry-a"))
     assert log.refused(join("entry-a", zone="b")).reason is RejectReason.CONFLICT
 
 
-def test_leaving_and_being_gone_remove_exactly_one_incarnation() -> None:
+def test_a_leave_or_termination_removes_exactly_one_incarnation() -> None:
     log = FoldedLog()
     log.must(join("entry-a"))
     log.must(join("entry-a", incarnation="2"))
-    stranger = EntryGone(instance="entry-b", incarnation="entry-a.1")
-    assert log.refused(stranger).reason is RejectReason.NOT_FOUND
+    other = EntryGone(instance="entry-b", incarnation="entry-a.1")
+    assert log.refused(other).reason is RejectReason.NOT_FOUND
     log.must(EntryGone(instance="entry-a", incarnation="entry-a.1"))
     assert log.state.membership.superseded == {}
     log.must(EntryLeave(instance="entry-a", incarnation="entry-a.2"))
