--- a/heatherkeel/membership/links.py
+++ b/heatherkeel/membership/links.py
@@ -17,7 +17,6 @@
 from heatherkeel.core.state import FleetState
 from heatherkeel.helpers.clock import monotonic_ms
 
-from .choice import remove_lost_peers, select_peers
 from .const import (
     CLEANUP_TICKS,
     CROSS_ZONE_TICKS,
@@ -39,6 +38,7 @@
     encode_message,
 )
 from .peer_link import PeerLink
+from .peer_selection import remove_lost_peers, select_peers
 from .recent import RecentRecords
 from .reducer import find_incarnation
 from .sockets import EdgeSocket, Frames
