--- a/heatherkeel/membership/peer_link.py
+++ b/heatherkeel/membership/peer_link.py
@@ -8,9 +8,9 @@
 import trio
 import zmq
 
+from .ack_timeout import AckTimeout
 from .messages import Heartbeat, HeartbeatAck, PeerMessage, encode_message
 from .sockets import EdgeSocket, Frames
-from .suspicion import AckTimeout
 
 _LOGGER = logging.getLogger(__name__)
 
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -15,6 +15,7 @@
 from heatherkeel.core.reducer import fold
 from heatherkeel.core.state import canonical_bytes
 from heatherkeel.helpers.clock import monotonic_ms
+from heatherkeel.membership.ack_timeout import AckTimeout
 from heatherkeel.membership.const import (
     CROSS_ZONE_PEERS,
     DISCOVERED_PEER_KEPT_MS,
@@ -28,7 +29,6 @@
 from heatherkeel.membership.models import EntryInstance, EntryJoin
 from heatherkeel.membership.peer_selection import remove_lost_peers, select_peers
 from heatherkeel.membership.recent import RecentRecords
-from heatherkeel.membership.suspicion import AckTimeout
 
 
 class Peer:
