--- a/heatherkeel/entry/duties.py
+++ b/heatherkeel/entry/duties.py
@@ -13,7 +13,7 @@
 from heatherkeel.membership.const import PAUSE_CHECK_INTERVAL_MS
 from heatherkeel.membership.events import LeaseGranted, LeaseRefused, LeaseWanted
 from heatherkeel.membership.models import EntryJoin, EntryLeave, EntryRenew
-from heatherkeel.membership.pause import PauseWatch
+from heatherkeel.membership.pause import PauseDetector
 from heatherkeel.pools.models import InstanceChanged
 from heatherkeel.requests.limits import acknowledged_offset, is_acknowledgement_due
 
@@ -49,7 +49,7 @@
         self.acknowledger = Acknowledger(node=node)
         self.coordinator = Coordinator(node=node, listing=self.listing)
         self.observer = HealthObserver(node=node, listing=self.listing)
-        self.pauses = PauseWatch(take=node.take)
+        self.pauses = PauseDetector(take=node.take)
 
     def start(self) -> None:
         """Subscribe to the timer service."""
--- a/heatherkeel/membership/pause.py
+++ b/heatherkeel/membership/pause.py
@@ -13,7 +13,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class PauseWatch:
+class PauseDetector:
     """Compares the monotonic clock from one timer call to the next."""
 
     def __init__(self, *, take: Callable[[ClockGap], object]) -> None:
--- a/tests/membership/test_lease.py
+++ b/tests/membership/test_lease.py
@@ -13,7 +13,7 @@
 from heatherkeel.membership import pause
 from heatherkeel.membership.const import MIN_PAUSE_MS, PAUSE_CHECK_INTERVAL_MS
 from heatherkeel.membership.events import ClockGap, LeaseGranted, LeaseRefused, LeaseWanted
-from heatherkeel.membership.pause import PauseWatch
+from heatherkeel.membership.pause import PauseDetector
 from tests.fleetlog.fake import run
 
 
@@ -73,7 +73,7 @@
     gaps: list[ClockGap] = []
 
     async def scenario() -> None:
-        watch = PauseWatch(take=gaps.append)
+        watch = PauseDetector(take=gaps.append)
         for late_ms in (0, MIN_PAUSE_MS - 1, 5_000, 0):
             now[0] += PAUSE_CHECK_INTERVAL_MS + late_ms
             await watch.async_check()
