--- a/heatherkeel/membership/sponsor.py
+++ b/heatherkeel/membership/sponsor.py
@@ -64,7 +64,7 @@
     return []
 
 
-def may_route(node: NodeState, now_ms: int) -> bool:
+def can_route(node: NodeState, now_ms: int) -> bool:
     """Return whether drains wait for this process, directly or through its sponsor.
 
     The state that a sponsor provides can be some seconds old. A drain that the sponsor has
--- a/heatherkeel/monitoring/readiness.py
+++ b/heatherkeel/monitoring/readiness.py
@@ -6,7 +6,7 @@
 
 from heatherkeel.entry.node import Node
 from heatherkeel.helpers.clock import monotonic_ms
-from heatherkeel.membership.sponsor import may_route
+from heatherkeel.membership.sponsor import can_route
 
 
 class NotReadyReason(StrEnum):
@@ -17,7 +17,7 @@
     """No state that it may serve by is in force yet, or its port is not open."""
     NO_CATALOGUE_ENTRY = "no_catalogue_entry"
     NO_SPONSOR = "no_sponsor"
-    """It started from a peer's state, and no drain would wait for it now (`may_route`)."""
+    """It started from a peer's state, and no drain would wait for it now (`can_route`)."""
 
 
 class Readiness:
@@ -50,6 +50,6 @@
             reasons.append(NotReadyReason.STARTING)
         elif not self.node.state.fleet.catalogue.entries:
             reasons.append(NotReadyReason.NO_CATALOGUE_ENTRY)
-        if not may_route(self.node.state, monotonic_ms()):
+        if not can_route(self.node.state, monotonic_ms()):
             reasons.append(NotReadyReason.NO_SPONSOR)
         return reasons
--- a/heatherkeel/requests/routing.py
+++ b/heatherkeel/requests/routing.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from heatherkeel.core.node import NodeState
-from heatherkeel.membership.sponsor import may_route
+from heatherkeel.membership.sponsor import can_route
 
 from .const import FULL_ZONE_MS, SHARE_GRACE_MS
 from .health import allowed
@@ -65,7 +65,7 @@
     or runs twice. Enough because without a lease nothing is sent that may not be sent again, and
     a newcomer that the fold doesn't know sends nothing at all without its sponsor.
     """
-    if not may_route(node, now_ms):
+    if not can_route(node, now_ms):
         return RefusalReason.NO_SPONSOR
     if not request.idempotent and now_ms >= node.local.lease.valid_until_ms:
         return RefusalReason.LEASE_LAPSED
--- a/tests/membership/test_sponsor.py
+++ b/tests/membership/test_sponsor.py
@@ -15,7 +15,7 @@
 )
 from heatherkeel.membership.messages import Heartbeat
 from heatherkeel.membership.models import EntryInstance
-from heatherkeel.membership.sponsor import may_route, quiesced_drains
+from heatherkeel.membership.sponsor import can_route, quiesced_drains
 from heatherkeel.requests.local import TargetView
 from heatherkeel.waves.models import Drain, Purpose
 
@@ -102,7 +102,7 @@
     joining.fleet.waves.drains.clear()
     start_joining(sponsor, joining)
     exchange_heartbeat(sponsor, joining, now_ms=100)
-    last_send_ms = next(ms for ms in range(100, 20_000) if not may_route(joining, ms)) - 1
+    last_send_ms = next(ms for ms in range(100, 20_000) if not can_route(joining, ms)) - 1
     assert last_send_ms < 100 + SPONSOR_LEASE_MS
     assert not acknowledges(sponsor, last_send_ms + DEADLINE_MS)
     assert acknowledges(sponsor, 101 + SPONSOR_LEASE_MS + DEADLINE_MS)
@@ -125,7 +125,7 @@
     )
     reduce(joining, LeaseGranted(now_ms=100, sent_ms=100, lease_ms=9_000))
     exchange_heartbeat(sponsor, joining, now_ms=100)
-    assert may_route(joining, 60_000)
+    assert can_route(joining, 60_000)
     assert not acknowledges(sponsor, 100) and not acknowledges(sponsor, 100 + DEADLINE_MS)
     assert acknowledges(sponsor, 101 + DEADLINE_MS)
 
@@ -135,13 +135,13 @@
     # wait for the joining instance.
     sponsor, joining = make_node("e-1"), make_node("e-9")
     start_joining(sponsor, joining, needed_offset=11)
-    assert not may_route(joining, 100)
+    assert not can_route(joining, 100)
     joining.fleet.next_offset = 12
-    assert may_route(joining, 100)
+    assert can_route(joining, 100)
 
 
 def test_only_the_own_sponsor_extends_the_sponsorship() -> None:
     sponsor, joining = make_node("e-1"), make_node("e-9")
     start_joining(sponsor, joining)
     reduce(joining, SponsorAnswered(now_ms=5_000, sponsor="i-other", sent_ms=5_000))
-    assert not may_route(joining, SPONSOR_LEASE_MS)
+    assert not can_route(joining, SPONSOR_LEASE_MS)
