--- a/heatherkeel/entry/duties_acknowledge.py
+++ b/heatherkeel/entry/duties_acknowledge.py
@@ -8,7 +8,7 @@
 
 from heatherkeel.core.node import NodeState
 from heatherkeel.helpers.clock import monotonic_ms
-from heatherkeel.membership.sponsor import are_newcomers_quiet
+from heatherkeel.membership.sponsor import are_sponsored_instances_quiesced
 from heatherkeel.waves.models import AckedDrain, DrainAck
 
 from .const import MAX_ACKNOWLEDGED_AT_ONCE, WRITE_TIMEOUT_S
@@ -57,7 +57,7 @@
     for instance_id, drain in sorted(node.fleet.waves.drains.items()):
         if node.local.incarnation not in drain.waiting:
             continue
-        if not are_newcomers_quiet(node, drain.id, now_ms):
+        if not are_sponsored_instances_quiesced(node, drain.id, now_ms):
             continue
         view = routing.targets.get(instance_id)
         if view is None or view.in_progress == 0:
--- a/heatherkeel/membership/sponsor.py
+++ b/heatherkeel/membership/sponsor.py
@@ -77,7 +77,7 @@
     return is_folded and now_ms < sponsorship.until_ms
 
 
-def are_newcomers_quiet(node: NodeState, drain_id: str, now_ms: int) -> bool:
+def are_sponsored_instances_quiesced(node: NodeState, drain_id: str, now_ms: int) -> bool:
     """Return whether no sponsored instance can have a request in progress for a drain.
 
     If the sponsor acknowledged earlier, a target could be stopped with their requests in progress.
