--- a/heatherkeel/membership/events.py
+++ b/heatherkeel/membership/events.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class NewcomerStarted(LocalEvent):
+class JoiningInstanceStarted(LocalEvent):
     """A joining instance is given the state of this process, which sponsors it from now on."""
 
     instance: str
--- a/heatherkeel/membership/links.py
+++ b/heatherkeel/membership/links.py
@@ -24,7 +24,7 @@
     MAX_LOADS,
     RELAY_AFTER_MS,
 )
-from .events import NewcomerStarted, PeerHeard, PeerLoad, SponsorAnswered, StartedFromPeer
+from .events import JoiningInstanceStarted, PeerHeard, PeerLoad, SponsorAnswered, StartedFromPeer
 from .messages import (
     Heartbeat,
     HeartbeatAck,
@@ -250,7 +250,7 @@
         local = self.node.local
         if find_incarnation(self.node.fleet.membership, local.incarnation) is None:
             return None
-        started = NewcomerStarted(
+        started = JoiningInstanceStarted(
             now_ms=now_ms, instance=wanted.instance, incarnation=wanted.incarnation
         )
         if find_incarnation(self.node.fleet.membership, wanted.incarnation) is None:
--- a/heatherkeel/membership/sponsor.py
+++ b/heatherkeel/membership/sponsor.py
@@ -12,13 +12,19 @@
 from heatherkeel.core.state import FleetState
 
 from .const import LEASE_MARGIN_DIVISOR, MAX_QUIESCED_DRAINS, SPONSOR_LEASE_MS
-from .events import LeaseGranted, NewcomerStarted, PeerHeard, SponsorAnswered, StartedFromPeer
+from .events import (
+    JoiningInstanceStarted,
+    LeaseGranted,
+    PeerHeard,
+    SponsorAnswered,
+    StartedFromPeer,
+)
 from .local import SponsoredInstance, Sponsorship
 from .reducer import find_incarnation
 
 
-@listens(NewcomerStarted)
-def start_sponsoring(node: NodeState, event: NewcomerStarted) -> list[Effect]:
+@listens(JoiningInstanceStarted)
+def start_sponsoring(node: NodeState, event: JoiningInstanceStarted) -> list[Effect]:
     """Delay drains for a joining instance from the time when it is given the state."""
     node.local.peers.sponsored[event.incarnation] = SponsoredInstance(
         instance=event.instance, acked_ms=event.now_ms
--- a/tests/membership/test_sponsor.py
+++ b/tests/membership/test_sponsor.py
@@ -7,8 +7,8 @@
 from heatherkeel.entry.duties_acknowledge import find_quiet_drains
 from heatherkeel.membership.const import SPONSOR_LEASE_MS
 from heatherkeel.membership.events import (
+    JoiningInstanceStarted,
     LeaseGranted,
-    NewcomerStarted,
     PeerHeard,
     SponsorAnswered,
     StartedFromPeer,
@@ -46,7 +46,7 @@
 
 
 def start_joining(sponsor: NodeState, joining: NodeState, *, needed_offset: int = 10) -> None:
-    reduce(sponsor, NewcomerStarted(now_ms=0, instance="e-9", incarnation="i-e-9"))
+    reduce(sponsor, JoiningInstanceStarted(now_ms=0, instance="e-9", incarnation="i-e-9"))
     started = StartedFromPeer(now_ms=1, sponsor="i-e-1", sent_ms=0, needed_offset=needed_offset)
     reduce(joining, started)
 
--- a/tests/requests/test_limits.py
+++ b/tests/requests/test_limits.py
@@ -9,7 +9,7 @@
 from heatherkeel.catalogue.models import RequestLimits
 from heatherkeel.core.node import LocalState, NodeState, reduce
 from heatherkeel.core.state import canonical_bytes, from_canonical_bytes
-from heatherkeel.membership.events import NewcomerStarted, StartedFromPeer
+from heatherkeel.membership.events import JoiningInstanceStarted, StartedFromPeer
 from heatherkeel.membership.models import EntryLeave, EntryRenew
 from heatherkeel.requests import limits
 from heatherkeel.requests.const import SHARE_GRACE_MS
@@ -283,7 +283,9 @@
         now_ms=log.now_ms, sponsor=incarnation_of("e1"), sent_ms=log.now_ms, needed_offset=0
     )
     reduce(newcomer, started)
-    begun = NewcomerStarted(now_ms=log.now_ms, instance="e2", incarnation=incarnation_of("e2"))
+    begun = JoiningInstanceStarted(
+        now_ms=log.now_ms, instance="e2", incarnation=incarnation_of("e2")
+    )
     reduce(sponsor, begun)
     shares = [
         limits.share(node, "t0", node.local.routing.targets["t0"]) for node in (sponsor, newcomer)
