--- a/heatherkeel/membership/ack_timeout.py
+++ b/heatherkeel/membership/ack_timeout.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .const import HEARTBEAT_INTERVAL_MS, MAX_SILENCE_MS, MIN_SILENCE_MS
+from .const import HEARTBEAT_INTERVAL_MS, MAX_ACK_TIMEOUT_MS, MIN_ACK_TIMEOUT_MS
 
 MEAN_DIVISOR = 8
 DEVIATION_DIVISOR = 4
@@ -23,11 +23,11 @@
 
     def record_interval(self, interval_ms: int) -> None:
         """Record the interval between two answers."""
-        error_ms = min(interval_ms, MAX_SILENCE_MS) - self.mean_ms
+        error_ms = min(interval_ms, MAX_ACK_TIMEOUT_MS) - self.mean_ms
         self.mean_ms += error_ms / MEAN_DIVISOR
         self.deviation_ms += (abs(error_ms) - self.deviation_ms) / DEVIATION_DIVISOR
 
     def timeout_ms(self) -> int:
         """Return the longest time without an answer, in milliseconds."""
         learned_ms = self.mean_ms + TIMEOUT_DEVIATIONS * self.deviation_ms
-        return round(min(MAX_SILENCE_MS, max(MIN_SILENCE_MS, learned_ms)))
+        return round(min(MAX_ACK_TIMEOUT_MS, max(MIN_ACK_TIMEOUT_MS, learned_ms)))
--- a/heatherkeel/membership/const.py
+++ b/heatherkeel/membership/const.py
@@ -24,8 +24,8 @@
 MAX_QUIESCED_DRAINS: Final = 256
 """Most drains that one heartbeat reports as quiesced."""
 
-MIN_SILENCE_MS: Final = 2_500
-MAX_SILENCE_MS: Final = 10_000
+MIN_ACK_TIMEOUT_MS: Final = 2_500
+MAX_ACK_TIMEOUT_MS: Final = 10_000
 """Bounds of the learned time without an answer after which a connection is replaced."""
 
 MAX_QUEUED_MESSAGES: Final = 64
--- a/heatherkeel/monitoring/gauges.py
+++ b/heatherkeel/monitoring/gauges.py
@@ -13,7 +13,7 @@
 from heatherkeel.core.state import FleetState
 from heatherkeel.entry.node import Node
 from heatherkeel.helpers.clock import monotonic_ms
-from heatherkeel.membership.const import MAX_SILENCE_MS
+from heatherkeel.membership.const import MAX_ACK_TIMEOUT_MS
 from heatherkeel.membership.local import PeersState
 from heatherkeel.pools.models import Instance, InstanceStatus
 
@@ -35,7 +35,7 @@
 
 def count_live_peers(peers: PeersState, *, now_ms: int) -> int:
     """Count the linked peers whose heartbeats arrive; `now_ms` is the monotonic clock."""
-    return sum(1 for peer in peers.peers.values() if now_ms - peer.heard_ms <= MAX_SILENCE_MS)
+    return sum(1 for peer in peers.peers.values() if now_ms - peer.heard_ms <= MAX_ACK_TIMEOUT_MS)
 
 
 def count_leases(fleet: FleetState) -> int:
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -20,9 +20,9 @@
     CROSS_ZONE_PEERS,
     DISCOVERED_PEER_KEPT_MS,
     LOST_PEER_KEPT_MS,
+    MAX_ACK_TIMEOUT_MS,
     MAX_MESSAGE_BYTES,
-    MAX_SILENCE_MS,
-    MIN_SILENCE_MS,
+    MIN_ACK_TIMEOUT_MS,
 )
 from heatherkeel.membership.links import PeerLinks
 from heatherkeel.membership.local import PeerView
@@ -221,9 +221,11 @@
     for _ in range(100):
         near.record_interval(1_000)
         far.record_interval(5_000)
-    assert near.timeout_ms() == MIN_SILENCE_MS and 5_000 <= far.timeout_ms() < MAX_SILENCE_MS
+    assert (
+        near.timeout_ms() == MIN_ACK_TIMEOUT_MS and 5_000 <= far.timeout_ms() < MAX_ACK_TIMEOUT_MS
+    )
     far.record_interval(3_600_000)
-    assert far.timeout_ms() <= MAX_SILENCE_MS
+    assert far.timeout_ms() <= MAX_ACK_TIMEOUT_MS
 
 
 def test_an_unresponsive_connection_is_replaced() -> None:
--- a/tests/monitoring/test_metrics.py
+++ b/tests/monitoring/test_metrics.py
@@ -9,7 +9,7 @@
 
 from heatherkeel.core.models import Accepted, Duplicate, Effect, Rejected, RejectReason, Settled
 from heatherkeel.entry.node import Node
-from heatherkeel.membership.const import MAX_SILENCE_MS
+from heatherkeel.membership.const import MAX_ACK_TIMEOUT_MS
 from heatherkeel.membership.local import PeerView
 from heatherkeel.membership.models import EntryInstance
 from heatherkeel.monitoring.app import find_outcome
@@ -143,7 +143,7 @@
             offset_in_force=0,
             log_age_ms=0,
         )
-    assert count_live_peers(peers, now_ms=10_000 + MAX_SILENCE_MS) == 1
+    assert count_live_peers(peers, now_ms=10_000 + MAX_ACK_TIMEOUT_MS) == 1
 
 
 def test_gauges_show_the_state_at_the_time_of_the_scrape() -> None:
