--- a/heatherkeel/membership/events.py
+++ b/heatherkeel/membership/events.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PeerHeard(LocalEvent):
+class HeartbeatReceived(LocalEvent):
     """A heartbeat of a peer was received."""
 
     heartbeat: Heartbeat
--- a/heatherkeel/membership/links.py
+++ b/heatherkeel/membership/links.py
@@ -24,7 +24,13 @@
     MAX_LOADS,
     RELAY_AFTER_MS,
 )
-from .events import JoiningInstanceStarted, PeerHeard, PeerLoad, SponsorAnswered, StartedFromPeer
+from .events import (
+    HeartbeatReceived,
+    JoiningInstanceStarted,
+    PeerLoad,
+    SponsorAnswered,
+    StartedFromPeer,
+)
 from .messages import (
     Heartbeat,
     HeartbeatAck,
@@ -211,7 +217,7 @@
     def _handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatAck:
         now_ms = monotonic_ms()
         local = self.node.local
-        self.take(PeerHeard(now_ms=now_ms, heartbeat=heartbeat))
+        self.take(HeartbeatReceived(now_ms=now_ms, heartbeat=heartbeat))
         load = PeerLoad(
             now_ms=now_ms,
             instance=heartbeat.instance,
--- a/heatherkeel/membership/listeners.py
+++ b/heatherkeel/membership/listeners.py
@@ -6,7 +6,7 @@
 from heatherkeel.core.node import NodeState, listens
 
 from .const import LEASE_MARGIN_DIVISOR
-from .events import ClockGap, LeaseGranted, LeaseRefused, LeaseWanted, PeerHeard
+from .events import ClockGap, HeartbeatReceived, LeaseGranted, LeaseRefused, LeaseWanted
 from .local import PeerView
 
 
@@ -48,8 +48,8 @@
     return [LeaseWanted()]
 
 
-@listens(PeerHeard)
-def update_peer(node: NodeState, event: PeerHeard) -> list[Effect]:
+@listens(HeartbeatReceived)
+def update_peer(node: NodeState, event: HeartbeatReceived) -> list[Effect]:
     """Store the last heartbeat of a peer."""
     heartbeat = event.heartbeat
     node.local.peers.peers[heartbeat.instance] = PeerView(
--- a/heatherkeel/membership/sponsor.py
+++ b/heatherkeel/membership/sponsor.py
@@ -13,9 +13,9 @@
 
 from .const import LEASE_MARGIN_DIVISOR, MAX_QUIESCED_DRAINS, SPONSOR_LEASE_MS
 from .events import (
+    HeartbeatReceived,
     JoiningInstanceStarted,
     LeaseGranted,
-    PeerHeard,
     SponsorAnswered,
     StartedFromPeer,
 )
@@ -32,8 +32,8 @@
     return []
 
 
-@listens(PeerHeard)
-def update_sponsored(node: NodeState, event: PeerHeard) -> list[Effect]:
+@listens(HeartbeatReceived)
+def update_sponsored(node: NodeState, event: HeartbeatReceived) -> list[Effect]:
     """Record the quiesced drains of a sponsored instance, whose heartbeat is answered next."""
     joining = node.local.peers.sponsored.get(event.heartbeat.incarnation)
     if joining is not None:
--- a/tests/membership/test_sponsor.py
+++ b/tests/membership/test_sponsor.py
@@ -7,9 +7,9 @@
 from heatherkeel.entry.duties_acknowledge import find_quiet_drains
 from heatherkeel.membership.const import SPONSOR_LEASE_MS
 from heatherkeel.membership.events import (
+    HeartbeatReceived,
     JoiningInstanceStarted,
     LeaseGranted,
-    PeerHeard,
     SponsorAnswered,
     StartedFromPeer,
 )
@@ -62,7 +62,7 @@
         log_age_ms=-1,
         quiet_drains=quiesced_drains(joining),
     )
-    reduce(sponsor, PeerHeard(now_ms=now_ms, heartbeat=heartbeat))
+    reduce(sponsor, HeartbeatReceived(now_ms=now_ms, heartbeat=heartbeat))
     reduce(joining, SponsorAnswered(now_ms=now_ms, sponsor="i-e-1", sent_ms=now_ms))
 
 
