--- a/heatherkeel/membership/links.py
+++ b/heatherkeel/membership/links.py
@@ -36,10 +36,10 @@
     HeartbeatAck,
     PeerMessage,
     Records,
-    RecordsWanted,
+    RecordsRequest,
     RelayedRecord,
     StatePart,
-    StateWanted,
+    StateRequest,
     decode_message,
     encode_message,
 )
@@ -139,7 +139,7 @@
             self._send_heartbeat(link, monotonic_ms())
             await trio.sleep(0.05)
         while not fetch.is_complete:
-            wanted = StateWanted(
+            wanted = StateRequest(
                 instance=self.node.local.instance,
                 incarnation=self.node.local.incarnation,
                 zone=self.node.local.zone,
@@ -198,9 +198,9 @@
         match self._decode(rest):
             case Heartbeat() as heartbeat:
                 answer = self._handle_heartbeat(heartbeat)
-            case RecordsWanted(zone=zone, from_offset=offset) if zone == self.node.local.zone:
+            case RecordsRequest(zone=zone, from_offset=offset) if zone == self.node.local.zone:
                 answer = Records(records=self.recent.since(offset))
-            case StateWanted(zone=zone) as wanted if zone == self.node.local.zone:
+            case StateRequest(zone=zone) as wanted if zone == self.node.local.zone:
                 answer = self._provide_state(wanted)
             case _:
                 pass
@@ -245,9 +245,9 @@
 
     def _request_records(self, link: PeerLink) -> None:
         offset = self.node.fleet.next_offset
-        link.send(RecordsWanted(zone=self.node.local.zone, from_offset=offset))
+        link.send(RecordsRequest(zone=self.node.local.zone, from_offset=offset))
 
-    def _provide_state(self, wanted: StateWanted) -> StatePart | None:
+    def _provide_state(self, wanted: StateRequest) -> StatePart | None:
         """Return a part of the state, and sponsor the joining instance from its first part on.
 
         No drain waits for a process that the fold doesn't know, so it can't sponsor another one.
--- a/heatherkeel/membership/messages.py
+++ b/heatherkeel/membership/messages.py
@@ -42,7 +42,7 @@
     sponsors: bool = False
 
 
-class RecordsWanted(msgspec.Struct, frozen=True, kw_only=True, tag="records_wanted"):
+class RecordsRequest(msgspec.Struct, frozen=True, kw_only=True, tag="records_wanted"):
     """Requests the records of the log from an offset on."""
 
     zone: Short
@@ -63,7 +63,7 @@
     records: list[RelayedRecord]
 
 
-class StateWanted(msgspec.Struct, frozen=True, kw_only=True, tag="state_wanted"):
+class StateRequest(msgspec.Struct, frozen=True, kw_only=True, tag="state_wanted"):
     """Requests one part of a peer's state; `offset` 0 requests the newest state."""
 
     instance: Short
@@ -87,7 +87,7 @@
     data: bytes
 
 
-PeerMessage = Heartbeat | HeartbeatAck | RecordsWanted | Records | StateWanted | StatePart
+PeerMessage = Heartbeat | HeartbeatAck | RecordsRequest | Records | StateRequest | StatePart
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(PeerMessage)
--- a/heatherkeel/membership/transfer.py
+++ b/heatherkeel/membership/transfer.py
@@ -14,7 +14,7 @@
 from heatherkeel.snapshots import codec
 
 from .const import PACKED_STATE_MAX_AGE_MS, STATE_PART_BYTES
-from .messages import StatePart, StateWanted
+from .messages import StatePart, StateRequest
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
         self.state = state
         self.cached: PackedState | None = None
 
-    def answer(self, wanted: StateWanted, now_ms: int) -> StatePart | None:
+    def answer(self, wanted: StateRequest, now_ms: int) -> StatePart | None:
         """Return the requested part; None if that state is no longer provided."""
         cached = self._pack_newest(now_ms) if wanted.offset == 0 else self.cached
         if cached is None or wanted.offset not in (0, cached.offset):
