--- a/heatherkeel/membership/listeners.py
+++ b/heatherkeel/membership/listeners.py
@@ -56,7 +56,7 @@
         incarnation=heartbeat.incarnation,
         zone=heartbeat.zone,
         address=heartbeat.address,
-        heard_ms=event.now_ms,
+        last_heartbeat_ms=event.now_ms,
         offset_in_force=heartbeat.offset_in_force,
         log_age_ms=heartbeat.log_age_ms,
     )
--- a/heatherkeel/membership/local.py
+++ b/heatherkeel/membership/local.py
@@ -12,7 +12,7 @@
     incarnation: str
     zone: str
     address: str
-    heard_ms: int
+    last_heartbeat_ms: int
     offset_in_force: int
     log_age_ms: int
 
--- a/heatherkeel/membership/peer_selection.py
+++ b/heatherkeel/membership/peer_selection.py
@@ -29,7 +29,10 @@
         addresses.sort(key=lambda address: _rank(node.local.instance, address))
         selected.update(dict.fromkeys(addresses[:CROSS_ZONE_PEERS], False))
     for peer in node.local.peers.peers.values():
-        if peer.zone == node.local.zone and now_ms - peer.heard_ms < DISCOVERED_PEER_KEPT_MS:
+        if (
+            peer.zone == node.local.zone
+            and now_ms - peer.last_heartbeat_ms < DISCOVERED_PEER_KEPT_MS
+        ):
             selected[peer.address] = True
     selected.pop(own, None)
     selected.pop("", None)
@@ -40,7 +43,7 @@
     """Remove peers without recent heartbeats, so that replaced ones don't accumulate."""
     peers = node.local.peers.peers
     for name in [
-        name for name, peer in peers.items() if now_ms - peer.heard_ms > LOST_PEER_KEPT_MS
+        name for name, peer in peers.items() if now_ms - peer.last_heartbeat_ms > LOST_PEER_KEPT_MS
     ]:
         del peers[name]
 
--- a/heatherkeel/monitoring/gauges.py
+++ b/heatherkeel/monitoring/gauges.py
@@ -35,7 +35,9 @@
 
 def count_live_peers(peers: PeersState, *, now_ms: int) -> int:
     """Count the linked peers whose heartbeats arrive; `now_ms` is the monotonic clock."""
-    return sum(1 for peer in peers.peers.values() if now_ms - peer.heard_ms <= MAX_ACK_TIMEOUT_MS)
+    return sum(
+        1 for peer in peers.peers.values() if now_ms - peer.last_heartbeat_ms <= MAX_ACK_TIMEOUT_MS
+    )
 
 
 def count_leases(fleet: FleetState) -> int:
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -201,7 +201,7 @@
         incarnation="1",
         zone="z-0",
         address="10.8.8.8:1",
-        heard_ms=0,
+        last_heartbeat_ms=0,
         offset_in_force=0,
         log_age_ms=0,
     )
@@ -240,9 +240,12 @@
             old = link.socket
             assert old is not None
             old.send = lambda frames: True  # type: ignore[method-assign]
-            heard_ms = peer.node.local.peers.peers["e-2"].heard_ms
+            last_heartbeat_ms = peer.node.local.peers.peers["e-2"].last_heartbeat_ms
             link.unacked_since_ms = monotonic_ms() - 60_000
-            await tick_until(lambda: peer.node.local.peers.peers["e-2"].heard_ms > heard_ms, other)
+            await tick_until(
+                lambda: peer.node.local.peers.peers["e-2"].last_heartbeat_ms > last_heartbeat_ms,
+                other,
+            )
             assert link.socket is not old and other.node.local.peers.replaced == 1
             assert old.socket.closed
 
--- a/tests/monitoring/test_metrics.py
+++ b/tests/monitoring/test_metrics.py
@@ -134,12 +134,12 @@
     # With the platform away the fold's time stands still and every lease seems to hold; only the
     # heartbeats show that a peer is lost.
     peers = node().state.local.peers
-    for name, heard_ms in (("e-b", 10_000), ("e-c", 9_999)):
+    for name, last_heartbeat_ms in (("e-b", 10_000), ("e-c", 9_999)):
         peers.peers[name] = PeerView(
             incarnation="i",
             zone="a",
             address="",
-            heard_ms=heard_ms,
+            last_heartbeat_ms=last_heartbeat_ms,
             offset_in_force=0,
             log_age_ms=0,
         )
