--- a/heatherkeel/entry/duties.py
+++ b/heatherkeel/entry/duties.py
@@ -49,7 +49,7 @@
         self.acknowledger = Acknowledger(node=node)
         self.coordinator = Coordinator(node=node, listing=self.listing)
         self.observer = HealthObserver(node=node, listing=self.listing)
-        self.pauses = PauseDetector(take=node.take)
+        self.pauses = PauseDetector(handle_event=node.take)
 
     def start(self) -> None:
         """Subscribe to the timer service."""
--- a/heatherkeel/entry/process.py
+++ b/heatherkeel/entry/process.py
@@ -43,9 +43,9 @@
         self.metrics = Metrics()
         self.links = PeerLinks(
             node=self.node.state,
-            take=self.node.take,
-            take_relayed=self.node.take_relayed,
-            heard_at_ms=lambda: self.node.follower.heard_at_ms,
+            handle_event=self.node.take,
+            apply_relayed_record=self.node.take_relayed,
+            log_answered_at_ms=lambda: self.node.follower.heard_at_ms,
             recent=self.node.recent,
             bind=settings.peers.bind,
             seeds=settings.peers.seeds,
--- a/heatherkeel/membership/links.py
+++ b/heatherkeel/membership/links.py
@@ -61,17 +61,17 @@
         self,
         *,
         node: NodeState,
-        take: Callable[[Event], object],
-        take_relayed: Callable[[LogRecord], None],
-        heard_at_ms: Callable[[], int | None],
+        handle_event: Callable[[Event], object],
+        apply_relayed_record: Callable[[LogRecord], None],
+        log_answered_at_ms: Callable[[], int | None],
         recent: RecentRecords,
         bind: str,
         seeds: list[str],
     ) -> None:
         self.node = node
-        self.take = take
-        self.take_relayed = take_relayed
-        self.heard_at_ms = heard_at_ms
+        self.handle_event = handle_event
+        self.apply_relayed_record = apply_relayed_record
+        self.log_answered_at_ms = log_answered_at_ms
         self.seeds = seeds
         self.address = bind
         self.recent = recent
@@ -129,7 +129,7 @@
                     sent_ms=sent_ms,
                     needed_offset=fetch.needed_offset,
                 )
-                self.take(event)
+                self.handle_event(event)
                 return state
         return None
 
@@ -172,7 +172,7 @@
 
     def _make_heartbeat(self, link: PeerLink, now_ms: int) -> Heartbeat:
         local = self.node.local
-        heard_ms = self.heard_at_ms()
+        log_answered_ms = self.log_answered_at_ms()
         return Heartbeat(
             instance=local.instance,
             incarnation=local.incarnation,
@@ -180,7 +180,7 @@
             address=self.address,
             number=link.next_number(),
             offset_in_force=self.node.fleet.next_offset - 1,
-            log_age_ms=-1 if heard_ms is None else now_ms - heard_ms,
+            log_age_ms=-1 if log_answered_ms is None else now_ms - log_answered_ms,
             loads=self._target_loads(),
             quiet_drains=quiesced_drains(self.node) if local.peers.sponsorship else [],
         )
@@ -217,14 +217,14 @@
     def _handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatAck:
         now_ms = monotonic_ms()
         local = self.node.local
-        self.take(HeartbeatReceived(now_ms=now_ms, heartbeat=heartbeat))
+        self.handle_event(HeartbeatReceived(now_ms=now_ms, heartbeat=heartbeat))
         load = PeerLoad(
             now_ms=now_ms,
             instance=heartbeat.instance,
             zone=heartbeat.zone,
             loads=heartbeat.loads,
         )
-        self.take(load)
+        self.handle_event(load)
         self._request_missing_records(heartbeat, now_ms)
         return HeartbeatAck(
             instance=local.instance,
@@ -237,8 +237,8 @@
     def _request_missing_records(self, heartbeat: Heartbeat, now_ms: int) -> None:
         """Request records that a peer of the own zone has folded while the log doesn't answer."""
         is_ahead = heartbeat.offset_in_force >= self.node.fleet.next_offset
-        heard_ms = self.heard_at_ms()
-        is_late = heard_ms is None or now_ms - heard_ms > RELAY_AFTER_MS
+        log_answered_ms = self.log_answered_at_ms()
+        is_late = log_answered_ms is None or now_ms - log_answered_ms > RELAY_AFTER_MS
         link = self.links.get(heartbeat.address)
         if is_ahead and is_late and link is not None and heartbeat.zone == self.node.local.zone:
             self._request_records(link)
@@ -260,7 +260,7 @@
             now_ms=now_ms, instance=wanted.instance, incarnation=wanted.incarnation
         )
         if find_incarnation(self.node.fleet.membership, wanted.incarnation) is None:
-            self.take(started)
+            self.handle_event(started)
         return self.provider.answer(wanted, now_ms)
 
     def _handle_answer(self, link: PeerLink, frames: Frames) -> None:
@@ -280,7 +280,7 @@
         sent_ms = link.record_ack(ack, now_ms)
         if ack.sponsors and sent_ms is not None:
             event = SponsorAnswered(now_ms=now_ms, sponsor=ack.incarnation, sent_ms=sent_ms)
-            self.take(event)
+            self.handle_event(event)
 
     def _apply_records(self, link: PeerLink, records: list[RelayedRecord]) -> None:
         """Fold the next records in order; they are compared with the log when it answers again."""
@@ -288,6 +288,8 @@
             if record.offset != self.node.fleet.next_offset:
                 continue
             self.node.local.peers.relayed += 1
-            self.take_relayed(LogRecord(offset=record.offset, at_ms=record.at_ms, data=record.data))
+            self.apply_relayed_record(
+                LogRecord(offset=record.offset, at_ms=record.at_ms, data=record.data)
+            )
         if len(records) > 1:
             self._request_records(link)
--- a/heatherkeel/membership/pause.py
+++ b/heatherkeel/membership/pause.py
@@ -16,8 +16,8 @@
 class PauseDetector:
     """Compares the monotonic clock from one timer call to the next."""
 
-    def __init__(self, *, take: Callable[[ClockGap], object]) -> None:
-        self.take = take
+    def __init__(self, *, handle_event: Callable[[ClockGap], object]) -> None:
+        self.handle_event = handle_event
         self.checked_ms = monotonic_ms()
 
     async def async_check(self) -> None:
@@ -28,4 +28,4 @@
         if late_ms < MIN_PAUSE_MS:
             return
         _LOGGER.warning("paused", extra={"event": "clock_gap", "gap_ms": late_ms})
-        self.take(ClockGap(now_ms=now_ms, gap_ms=late_ms))
+        self.handle_event(ClockGap(now_ms=now_ms, gap_ms=late_ms))
--- a/tests/membership/test_lease.py
+++ b/tests/membership/test_lease.py
@@ -73,10 +73,10 @@
     gaps: list[ClockGap] = []
 
     async def scenario() -> None:
-        watch = PauseDetector(take=gaps.append)
+        detector = PauseDetector(handle_event=gaps.append)
         for late_ms in (0, MIN_PAUSE_MS - 1, 5_000, 0):
             now[0] += PAUSE_CHECK_INTERVAL_MS + late_ms
-            await watch.async_check()
+            await detector.async_check()
 
     run(scenario)
     assert [gap.gap_ms for gap in gaps] == [5_000]
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -37,12 +37,12 @@
     def __init__(self, name: str, *, zone: str = "a", seeds: list[str] | None = None) -> None:
         self.node = NodeState(local=LocalState(instance=name, zone=zone, incarnation=f"i-{name}"))
         self.recent = RecentRecords()
-        self.heard_at_ms: int | None = None
+        self.log_answered_at_ms: int | None = None
         self.links = PeerLinks(
             node=self.node,
-            take=lambda event: reduce(self.node, event),
-            take_relayed=self.fold,
-            heard_at_ms=lambda: self.heard_at_ms,
+            handle_event=lambda event: reduce(self.node, event),
+            apply_relayed_record=self.fold,
+            log_answered_at_ms=lambda: self.log_answered_at_ms,
             recent=self.recent,
             bind="127.0.0.1:0",
             seeds=seeds or [],
@@ -91,7 +91,7 @@
         near, late, far = Peer("e-1"), Peer("e-2"), Peer("e-3", zone="b")
         async with opened(near, late, far):
             for peer in (near, far):
-                peer.heard_at_ms = monotonic_ms()
+                peer.log_answered_at_ms = monotonic_ms()
                 for number in range(600):
                     peer.join(f"x-{number}", "")
             late.links.seeds = [near.links.address, far.links.address]
