--- a/heatherkeel/membership/links.py
+++ b/heatherkeel/membership/links.py
@@ -139,14 +139,14 @@
             self._send_heartbeat(link, monotonic_ms())
             await trio.sleep(0.05)
         while not fetch.is_complete:
-            wanted = StateRequest(
+            request = StateRequest(
                 instance=self.node.local.instance,
                 incarnation=self.node.local.incarnation,
                 zone=self.node.local.zone,
                 offset=fetch.offset,
                 index=len(fetch.parts),
             )
-            link.send(wanted)
+            link.send(request)
             with trio.move_on_after(FETCH_TIMEOUT_S / 4):
                 await fetch.part_added.wait()
 
@@ -200,8 +200,8 @@
                 answer = self._handle_heartbeat(heartbeat)
             case RecordsRequest(zone=zone, from_offset=offset) if zone == self.node.local.zone:
                 answer = Records(records=self.recent.since(offset))
-            case StateRequest(zone=zone) as wanted if zone == self.node.local.zone:
-                answer = self._provide_state(wanted)
+            case StateRequest(zone=zone) as request if zone == self.node.local.zone:
+                answer = self._provide_state(request)
             case _:
                 pass
         if answer is not None:
@@ -247,7 +247,7 @@
         offset = self.node.fleet.next_offset
         link.send(RecordsRequest(zone=self.node.local.zone, from_offset=offset))
 
-    def _provide_state(self, wanted: StateRequest) -> StatePart | None:
+    def _provide_state(self, request: StateRequest) -> StatePart | None:
         """Return a part of the state, and sponsor the joining instance from its first part on.
 
         No drain waits for a process that the fold doesn't know, so it can't sponsor another one.
@@ -257,11 +257,11 @@
         if find_incarnation(self.node.fleet.membership, local.incarnation) is None:
             return None
         started = JoiningInstanceStarted(
-            now_ms=now_ms, instance=wanted.instance, incarnation=wanted.incarnation
+            now_ms=now_ms, instance=request.instance, incarnation=request.incarnation
         )
-        if find_incarnation(self.node.fleet.membership, wanted.incarnation) is None:
+        if find_incarnation(self.node.fleet.membership, request.incarnation) is None:
             self.handle_event(started)
-        return self.provider.answer(wanted, now_ms)
+        return self.provider.answer(request, now_ms)
 
     def _handle_answer(self, link: PeerLink, frames: Frames) -> None:
         """Handle an answer that was received on the connection to a peer."""
--- a/heatherkeel/membership/peer_selection.py
+++ b/heatherkeel/membership/peer_selection.py
@@ -13,7 +13,7 @@
 def select_peers(
     node: NodeState, *, seeds: Iterable[str], own: str, now_ms: int
 ) -> dict[str, bool]:
-    """Return the addresses to link with; the value is True for the own availability zone.
+    """Return the addresses to link with; the value is True for seeds and the own zone.
 
     All peers of the own zone are linked, as records are relayed there. Of each other zone only a
     few are, which differ between processes; this bounds the heartbeats of a large fleet.
--- a/heatherkeel/membership/sponsor.py
+++ b/heatherkeel/membership/sponsor.py
@@ -1,7 +1,7 @@
-"""Joining instances that started from a peer, their sponsor, and aren't known to the fold yet.
+"""Sponsorship of joining instances that started from a peer and aren't known to the fold yet.
 
-Drains don't wait for such an instance, so its sponsor acknowledges a drain only after it has, and
-it routes only while the sponsor answers. The cases are in `docs/design/cut-off.md`.
+Drains don't wait for such an instance. So its sponsor, the peer, acknowledges a drain only after
+it, and it routes only while the sponsor answers. The cases are in `docs/design/cut-off.md`.
 """
 
 from __future__ import annotations
@@ -105,7 +105,7 @@
 
 
 def _remove_expired(node: NodeState, now_ms: int) -> None:
-    """Remove instances that stopped routing, or that the fold knows for long enough.
+    """Remove instances that stopped routing, or that the fold has known for long enough.
 
     Drains that were decided before an instance joined don't wait for its earlier requests, so it
     is kept for the longest request after that.
--- a/heatherkeel/membership/transfer.py
+++ b/heatherkeel/membership/transfer.py
@@ -36,17 +36,17 @@
         self.state = state
         self.cached: PackedState | None = None
 
-    def answer(self, wanted: StateRequest, now_ms: int) -> StatePart | None:
+    def answer(self, request: StateRequest, now_ms: int) -> StatePart | None:
         """Return the requested part; None if that state is no longer provided."""
-        cached = self._pack_newest(now_ms) if wanted.offset == 0 else self.cached
-        if cached is None or wanted.offset not in (0, cached.offset):
+        cached = self._pack_newest(now_ms) if request.offset == 0 else self.cached
+        if cached is None or request.offset not in (0, cached.offset):
             return None
-        start = wanted.index * STATE_PART_BYTES
+        start = request.index * STATE_PART_BYTES
         return StatePart(
             offset=cached.offset,
             in_force=self.state().next_offset - 1,
             digest=cached.digest,
-            index=wanted.index,
+            index=request.index,
             count=-(-len(cached.packed) // STATE_PART_BYTES),
             data=cached.packed[start : start + STATE_PART_BYTES],
         )
