--- a/heatherkeel/requests/routing.py
+++ b/heatherkeel/requests/routing.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from heatherkeel.core.node import NodeState
-from heatherkeel.membership.sponsor import may_route
+from heatherkeel.membership.sponsor import can_route
 
 from .const import FULL_ZONE_RECHECK_MS, SHARE_GRACE_MS
 from .health import allowed_requests
@@ -64,7 +64,7 @@
     stopping target. Without a lease, only idempotent requests are sent; a joining instance that
     isn't in the fold sends no requests without its sponsor.
     """
-    if not may_route(node, now_ms):
+    if not can_route(node, now_ms):
         return RefusalReason.NO_SPONSOR
     if not request.idempotent and now_ms >= node.local.lease.valid_until_ms:
         return RefusalReason.LEASE_LAPSED
--- a/tests/monitoring/test_metrics.py
+++ b/tests/monitoring/test_metrics.py
@@ -9,7 +9,7 @@
 
 from heatherkeel.core.models import Accepted, Duplicate, Effect, Rejected, RejectReason, Settled
 from heatherkeel.entry.node import Node
-from heatherkeel.membership.const import MAX_SILENCE_MS
+from heatherkeel.membership.const import MAX_ACK_TIMEOUT_MS
 from heatherkeel.membership.local import PeerView
 from heatherkeel.membership.models import EntryInstance
 from heatherkeel.monitoring.app import find_outcome
@@ -134,16 +134,16 @@
     # With the platform away the fold's time stands still and every lease seems to hold; only the
     # heartbeats show that a peer is lost.
     peers = node().state.local.peers
-    for name, heard_ms in (("e-b", 10_000), ("e-c", 9_999)):
+    for name, last_heartbeat_ms in (("e-b", 10_000), ("e-c", 9_999)):
         peers.peers[name] = PeerView(
             incarnation="i",
             zone="a",
             address="",
-            heard_ms=heard_ms,
+            last_heartbeat_ms=last_heartbeat_ms,
             offset_in_force=0,
             log_age_ms=0,
         )
-    assert count_live_peers(peers, now_ms=10_000 + MAX_SILENCE_MS) == 1
+    assert count_live_peers(peers, now_ms=10_000 + MAX_ACK_TIMEOUT_MS) == 1
 
 
 def test_gauges_show_the_state_at_the_time_of_the_scrape() -> None:
