--- a/heatherkeel/entry/__init__.py
+++ b/heatherkeel/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process: stands between callers and targets, and takes part in every decision."""
+"""The entry process: the HTTP proxy between callers and targets."""
--- a/heatherkeel/entry/answers.py
+++ b/heatherkeel/entry/answers.py
@@ -1,4 +1,4 @@
-"""The answers that callers get: a target's, a recorded one, or a refusal with its reason."""
+"""Responses to callers: a target's, a recorded one, or a refusal with its reason."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     RefusalReason.TIMED_OUT: 504,
     RefusalReason.DEADLINE: 504,
 }
-"""HTTP status of a refusal; of all others it is 503."""
+"""HTTP status by refusal reason; the default is 503."""
 
 TITLES: Final = {
     Outcome.RAN: "It ran, but its answer was not kept",
@@ -44,13 +44,13 @@
 _DROPPED: Final = frozenset(name.encode() for name in HOP_BY_HOP_HEADERS) | {
     OUTCOME_HEADER.encode(),
     TARGET_HEADER.encode(),
-    # The server writes its own.
+    # The server sets its own date.
     b"date",
 }
 
 
 def pass_on_headers(target: str, headers: RawHeaders) -> RawHeaders:
-    """Return the headers of a target's answer for the caller."""
+    """Return the headers of a target's response as they are sent to the caller."""
     kept = [(name.lower(), value) for name, value in headers if name.lower() not in _DROPPED]
     kept.append((OUTCOME_HEADER.encode(), Outcome.RAN.value.encode()))
     kept.append((TARGET_HEADER.encode(), target.encode()))
@@ -60,7 +60,7 @@
 async def async_send_whole(
     send: AsgiSend, *, status: int, headers: RawHeaders, body: bytes, is_head: bool
 ) -> None:
-    """Send a whole answer; that to HEAD keeps the length that it speaks of."""
+    """Send a complete response; a response to HEAD keeps the target's content length."""
     if not is_head:
         headers = [item for item in headers if item[0] != b"content-length"]
         headers.append((b"content-length", str(len(body)).encode()))
@@ -69,7 +69,7 @@
 
 
 async def async_refuse(send: AsgiSend, effect: Refuse) -> None:
-    """Tell the caller why there is no answer of a target, and when to come back."""
+    """Send a refusal with its reason and, if known, the time after which to retry."""
     headers = {OUTCOME_HEADER: effect.outcome.value, REASON_HEADER: effect.reason.value}
     if effect.retry_after_ms:
         headers["retry-after"] = str(math.ceil(effect.retry_after_ms / 1000))
@@ -85,7 +85,7 @@
 
 
 async def async_replay(send: AsgiSend, effect: Replay) -> None:
-    """Give the recorded answer of the first request with the same key."""
+    """Send the recorded response to the first request with the same idempotency key."""
     headers = {OUTCOME_HEADER: Outcome.RAN.value, REPLAYED_HEADER: "true"}
     await async_respond(
         send,
--- a/heatherkeel/entry/claim_records.py
+++ b/heatherkeel/entry/claim_records.py
@@ -1,4 +1,4 @@
-"""Writes the claims of this process's requests, and their outcomes, to the log."""
+"""Writes claims of idempotency keys and the outcomes of their requests to the log."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ClaimRecords:
-    """Carries out the effects that concern claims."""
+    """Carries out the effects that write claims and outcomes."""
 
     def __init__(self, *, node: Node) -> None:
         self.node = node
@@ -31,7 +31,7 @@
         node.subscribe(WriteOutcome, self._write_outcome)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Write in the background."""
+        """Write in the background, in tasks of this nursery."""
         self.nursery = nursery
 
     def _write_claim(self, effect: WriteClaim) -> None:
@@ -73,7 +73,7 @@
             self.all_written = trio.Event()
 
     async def async_finish(self, *, timeout_s: float) -> None:
-        """Wait until every outcome is in the log: a repeat would be told *unknown* without it."""
+        """Wait for the pending outcome writes; without them a retry gets the outcome `unknown`."""
         with trio.move_on_after(timeout_s):
             while self.unwritten:
                 await self.all_written.wait()
--- a/heatherkeel/entry/connections.py
+++ b/heatherkeel/entry/connections.py
@@ -1,4 +1,4 @@
-"""Connections to targets: pooled ones of bounded age and idle time, and fresh ones for one use."""
+"""Connections to targets: pooled ones of limited age, and single-use ones."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def _make_pool(*, max_idle: int) -> httpcore.AsyncConnectionPool:
-    # The reducer decides on retries; one inside of the library could run a request twice.
+    # The reducer decides on retries; a retry by the library could run a request twice.
     return httpcore.AsyncConnectionPool(
         max_connections=None,
         max_keepalive_connections=max_idle,
@@ -27,7 +27,7 @@
 
 @dataclass(kw_only=True)
 class _TargetPool:
-    """Connections to one target; `users` counts the requests that use one now."""
+    """Connections to one target; `users` counts the requests in progress on them."""
 
     address: str
     opened_ms: int
@@ -38,17 +38,16 @@
     retired: bool = False
 
     def serves(self, address: str, now_ms: int) -> bool:
-        """Tell whether its connections may still be used for a target at this address."""
+        """Return whether its connections may still be used for a target at this address."""
         return self.address == address and now_ms - self.opened_ms < MAX_CONNECTION_AGE_MS
 
 
 class TargetConnections:
-    """A pool for each target, so that its connections can be closed without the others'.
+    """One connection pool per target, so that the pools can be closed separately.
 
-    Failure: something between the two ends forgets a connection, and it goes silent for good.
-    Symptom: now and then a request waits until its deadline, though the target is well. Enough
-    because no connection outlives its age, an idle one not even its idle time, and a request that
-    must not be sent twice gets a connection of its own.
+    A middlebox may drop a connection without notice, so that a request on it waits until its
+    deadline. Therefore the age and idle time of connections are limited, and a request that must
+    not be sent twice gets a new connection.
     """
 
     def __init__(self) -> None:
@@ -60,7 +59,7 @@
     async def async_use(
         self, target: str, address: str, *, fresh: bool
     ) -> AsyncIterator[httpcore.AsyncConnectionPool]:
-        """Give the pool to send through, and keep it open for so long."""
+        """Provide the pool for a request, and keep it open until the request ends."""
         if fresh:
             yield self.fresh
             return
@@ -83,14 +82,14 @@
         return self.pools[target]
 
     def retire(self, effect: CloseConnections) -> None:
-        """Use the connections to a target no more; those in use end first."""
+        """Stop using the connections to a target; those in use are closed when they become idle."""
         entry = self.pools.pop(effect.target, None)
         if entry is not None:
             entry.retired = True
             self.retired.append(entry)
 
     async def async_close_retired(self) -> None:
-        """Close what was retired and is no longer in use; called by a timer."""
+        """Close the retired pools that are no longer in use; called by a timer."""
         await self._async_close_unused()
 
     async def _async_close_unused(self) -> None:
--- a/heatherkeel/entry/duties.py
+++ b/heatherkeel/entry/duties.py
@@ -1,4 +1,4 @@
-"""What every entry process does by the clock: lease, shares, drains, health, the list."""
+"""Periodic work of an entry process: lease, shares, drains, health and the instance list."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 
 
 class Duties:
-    """Timed work of one entry process."""
+    """Periodic work of one entry process."""
 
     def __init__(self, *, node: Node) -> None:
         self.node = node
         self.peer_address = ""
-        """Where peers reach this process; known once the port is open."""
+        """Address at which peers reach this process; set once the port is open."""
         self.joined = False
         self.leaving = False
         self.waited_for = trio.Event()
-        """Set when drains wait for this process: it has joined, or a peer sponsors it."""
+        """Set once drains wait for this process, because it has joined or a peer sponsors it."""
         self.listing = InstanceListing(node=node)
         self.acknowledger = Acknowledger(node=node)
         self.coordinator = Coordinator(node=node, listing=self.listing)
@@ -52,7 +52,7 @@
         self.pauses = PauseWatch(take=node.take)
 
     def start(self) -> None:
-        """Subscribe to the timer service."""
+        """Register all periodic work with the timer service."""
         if self.node.state.local.peers.sponsorship is not None:
             self.waited_for.set()
         settings = self.node.settings
@@ -82,8 +82,8 @@
             idle_interval_ms=IDLE_INTERVAL_MS,
             is_idle=lambda: not is_acknowledgement_due(self.node.state),
         )
-        # Most of the time nothing drains, and a wake-up costs some 0.2 ms. Whatever starts or
-        # moves a drain changes an instance, which wakes both.
+        # Polled rarely while there are no drains. Each step of a drain changes an instance, which
+        # wakes both callbacks.
         for name, interval_ms, callback in (
             ("acknowledge", ACKNOWLEDGE_INTERVAL_MS, self.acknowledger.async_acknowledge),
             ("coordinate", COORDINATE_INTERVAL_MS, self.coordinator.async_coordinate),
@@ -104,7 +104,7 @@
         self.node.timers.wake(name)
 
     async def async_hold_lease(self) -> None:
-        """Join, or renew the routing lease."""
+        """Join the fleet, or renew the routing lease."""
         if self.leaving:
             return
         await self.node.follower.caught_up.wait()
@@ -124,11 +124,11 @@
                 _LOGGER.warning("lease: %s", failure, extra={"event": "lease_not_renewed"})
 
     async def async_leave(self) -> None:
-        """Give the lease and all shares back for good, after the last caller has its answer.
+        """Release the lease and all shares, after the last response was sent.
 
-        Drains in this availability zone wait for every process that may still send. One that
-        ended without a word would hold them until the platform says that its instance is
-        terminated, and after a mere restart under the same id the platform never says so.
+        Drains in this availability zone wait for every process that may still send. A process
+        that ends without leaving would block them until the platform lists its instance as
+        terminated, which never happens if only the process restarts.
         """
         self.leaving = True
         if not self.joined or not is_done_sending(self.node.state):
@@ -165,6 +165,6 @@
         )
 
     async def async_acknowledge_shares(self) -> None:
-        """Renew at once when others wait for this process before their shares may grow."""
+        """Renew immediately if peers can't raise their shares before this process acknowledges."""
         if is_acknowledgement_due(self.node.state):
             await self.async_hold_lease()
--- a/heatherkeel/entry/duties_acknowledge.py
+++ b/heatherkeel/entry/duties_acknowledge.py
@@ -1,4 +1,4 @@
-"""Acknowledges drains: this process has stopped sending, and nothing of its own is in progress."""
+"""Acknowledges drains of targets to which this process no longer sends requests."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 class Acknowledger:
-    """Tells the fold which draining instances this process is done with."""
+    """Records which draining instances have no requests in progress from this process."""
 
     def __init__(self, *, node: Node) -> None:
         self.node = node
 
     async def async_acknowledge(self) -> None:
-        """Acknowledge in one record all drains that wait for this process without need."""
+        """Acknowledge all drains that this process no longer uses, in one record."""
         quiet = find_quiet_drains(self.node.state, monotonic_ms())
         if not quiet:
             return
@@ -43,14 +43,12 @@
 def find_quiet_drains(node: NodeState, now_ms: int) -> list[AckedDrain]:
     """Return the drains that wait for this process although it has nothing in progress.
 
-    An acknowledgement that comes early lets a target be stopped under a request, and its caller
-    is cut off. Two things make this one true for good. The drain was folded here, so the router
-    of this loop, which reads the same state, picks the instance no more. And the router counts a
-    request in the same step in which it picks the target, with no await in between, so that a
-    count of 0 leaves no request that is picked but not yet counted.
+    A premature acknowledgement would let a target stop during a request. A count of 0 is final:
+    the drain is already folded, so the router no longer picks the instance, and it counts each
+    request when it picks the target, without an await in between.
 
-    While the record is on its way the drain may be cancelled and requests be sent again. The
-    record names the drain, and the fold takes it for no later one.
+    The drain may be cancelled before the record is folded. The record names the drain's id, so
+    the fold doesn't apply it to a later one.
     """
     routing = node.local.routing
     quiet: list[AckedDrain] = []
@@ -66,9 +64,9 @@
 
 
 def is_done_sending(node: NodeState) -> bool:
-    """Say whether nothing is in progress, here or at a newcomer that only this process speaks for.
+    """Return whether no request is in progress, here or at sponsored instances.
 
-    Asked after the callers' port is closed, when nothing new can begin.
+    Valid only after the callers' port is closed, when no request can start.
     """
     in_progress = any(view.in_progress for view in node.local.routing.targets.values())
     return not in_progress and not node.local.peers.sponsored
--- a/heatherkeel/entry/duties_coordinate.py
+++ b/heatherkeel/entry/duties_coordinate.py
@@ -1,8 +1,7 @@
-"""Coordinates drains: any entry process may, at any time, also two of them at once.
+"""Coordinates drains; several entry processes may do so at once.
 
-Nothing is kept here that the next coordinator would need. What has to be done stands in the
-fold; each record names the version that its author saw, and each operation the drain that it
-belongs to. So a coordinator that dies is replaced, and one that slept repeats nothing.
+The steps follow from the folded state. Each record names the version that its author saw, and
+each operation its drain, so another process can take over and repeats have no effect.
 """
 
 from __future__ import annotations
@@ -42,7 +41,7 @@
 
 
 class Coordinator:
-    """Proposes drains and their next steps, and has the platform restart what is stopped."""
+    """Proposes drains and their next steps, and requests reboots of stopped instances."""
 
     def __init__(self, *, node: Node, listing: InstanceListing) -> None:
         self.node = node
@@ -53,7 +52,7 @@
         self.planned_at_ms = 0
 
     async def async_coordinate(self) -> None:
-        """Do what is this process's turn, side by side, and wait for all of it."""
+        """Run all steps that are due for this process concurrently, and wait for them."""
         await self.node.follower.caught_up.wait()
         if not self.node.follower.reachable:
             return
@@ -87,10 +86,9 @@
         return [*next_steps(fleet, now_ms, coordinator=own_id), *drains]
 
     def _plan(self, fleet: FleetState, now_ms: int, rank: int) -> None:
-        """Plan anew now and then; who isn't first in line only watches whether the first one acts.
+        """Update the plan of drains periodically; processes of a lower rank do so less often.
 
-        A plan looks at every instance of the fleet, so all entry processes planning all the
-        time would cost each of them more than the control that it is for.
+        A plan reads every instance of the fleet, which is expensive in every entry process.
         """
         interval_ms = PLAN_INTERVAL_MS if rank == 0 else TAKEOVER_MS
         if monotonic_ms() - self.planned_at_ms < interval_ms:
@@ -111,12 +109,11 @@
         _LOGGER.info("%s %s", fields["step"], proposal.instance, extra=fields)
 
     async def _async_restart(self, instance_id: str, drain_id: str) -> None:
-        """Ask the platform for a reboot, or how far it is, and report the return.
+        """Request a reboot or poll its progress, and report the instance's return.
 
-        The drain's id is the operation's id. A coordinator can lose the answer, die after the
-        call, or sleep before it: the instance would be rebooted again while it serves, and its
-        requests be cut. Under one id the reboot takes effect once, whoever asks how often. The
-        operation names the boot as well, so that one carried out late ends no later boot.
+        The drain's id is the operation's id, so the platform runs the reboot once even if a
+        coordinator repeats the call. The operation also names the boot, so that a delayed one
+        can't end a later boot.
         """
         drain = self.node.state.fleet.waves.drains.get(instance_id)
         if drain is None or drain.id != drain_id:
@@ -148,11 +145,11 @@
 
 
 def has_returned(operation: OperationStatus, line: ListedInstance) -> bool:
-    """Say whether the list shows the boot that came after the operation.
+    """Return whether the list shows the boot that followed the operation.
 
-    The list lags: for a while it goes on showing the boot that is ended as live. Only the boot
-    that the operation led to counts. If the instance had restarted by itself since the log last
-    heard of it, the operation ended nothing and never will; any other boot is then a later one.
+    The list lags and may still show the ended boot as live, so only the operation's new boot
+    counts. If the instance restarted by itself before the operation (`OVERTAKEN`), the operation
+    has no effect and any other boot is a later one.
     """
     if line.state is not ListedState.LIVE:
         return False
@@ -166,7 +163,7 @@
 
 
 def _stopped(fleet: FleetState) -> list[tuple[str, str]]:
-    """Return the instances whose stop the log has admitted, each with its drain."""
+    """Return the instances that the log records as stopped, each with its drain's id."""
     return [
         (instance_id, drain.id)
         for instance_id, drain in sorted(fleet.waves.drains.items())
--- a/heatherkeel/entry/duties_health.py
+++ b/heatherkeel/entry/duties_health.py
@@ -1,4 +1,4 @@
-"""Reports what connections show: targets that fail, and failed ones that answer again."""
+"""Probes targets and reports those that fail or have recovered."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class HealthObserver:
-    """Probes what is in doubt, and tells the log what it found; the fold weighs the witnesses."""
+    """Probes suspect instances and records the results; the fold combines several observers."""
 
     def __init__(self, *, node: Node, listing: InstanceListing) -> None:
         self.node = node
@@ -30,13 +30,13 @@
         self.turns = Turns(takeover_ms=0, retry_ms=OBSERVE_AGAIN_MS)
 
     async def async_observe(self) -> None:
-        """Probe every instance in doubt, side by side."""
+        """Probe all suspect instances concurrently."""
         await self.node.follower.caught_up.wait()
         doubtful = {
             f"{name}:{self.node.state.fleet.pools.instances[name].status}": name
             for name in find_doubtful(self.node.state)
         }
-        # Each process speaks for itself here: the fold wants several witnesses, so rank is 0.
+        # The fold needs reports of several observers, so each process acts as rank 0.
         due = self.turns.choose(doubtful, rank=0, now_ms=monotonic_ms())
         async with trio.open_nursery() as nursery:
             for key in due:
@@ -60,7 +60,7 @@
 
 
 def find_doubtful(node: NodeState) -> list[str]:
-    """Return the failed instances that no drain repairs, and those that fail requests here."""
+    """Return the failed instances that have no drain, and those whose requests fail here."""
     failed = [
         name
         for name, instance in node.fleet.pools.instances.items()
@@ -82,7 +82,7 @@
     answers: bool,
     observer: str,
 ) -> RecordBody | None:
-    """Return what a probe gives cause to record, if anything."""
+    """Return the record that follows from a probe's result, or None."""
     if instance.status is InstanceStatus.SERVING and not answers:
         return InstanceObserved(instance=name, health=Health.FAILED, observer=observer)
     if instance.status is not InstanceStatus.FAILED or not answers or line is None:
--- a/heatherkeel/entry/duties_listing.py
+++ b/heatherkeel/entry/duties_listing.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of instances, and tells the log what it shows for sure."""
+"""Reads the platform's list of instances and records its changes in the log."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class InstanceListing:
-    """The platform's list as last read; it lags, so only what can't be outdated is told."""
+    """The platform's list as last read; it lags, so only facts that stay true are reported."""
 
     def __init__(self, *, node: Node) -> None:
         self.node = node
@@ -40,7 +40,7 @@
         self.turns = Turns(takeover_ms=TAKEOVER_MS, retry_ms=RETRY_MS)
 
     async def async_read(self) -> None:
-        """Read the list: note who is leaving, and report what the log doesn't know."""
+        """Read the list, update the router, and report what the log doesn't have yet."""
         match await self.node.client.async_list_instances():
             case Ok(listed):
                 self._take({instance.id: instance for instance in listed.instances})
@@ -49,7 +49,7 @@
                 _LOGGER.warning("list: %s", error.detail, extra={"event": "list_failed"})
 
     def _take(self, lines: dict[str, ListedInstance]) -> None:
-        """Tell the router what changed: who leaves, is live again, or is no longer listed."""
+        """Notify the router of targets that are leaving, live again or no longer listed."""
         now_ms = monotonic_ms()
         routing = self.node.state.local.routing
         for name in self.by_id.keys() - lines.keys():
@@ -82,7 +82,7 @@
 def find_reports(
     fleet: FleetState, listed: dict[str, ListedInstance], *, observer: str
 ) -> Iterator[tuple[str, RecordBody]]:
-    """Yield the records that the list gives cause for, each with a key of the work it is."""
+    """Yield the records that follow from the list, each with a key that identifies it."""
     for line in listed.values():
         if line.role == WORKER_ROLE:
             yield from _report_worker(fleet, line, observer)
@@ -100,8 +100,7 @@
         return
     if line.state is ListedState.TERMINATED:
         yield f"gone:{line.id}", InstanceGone(instance=line.id, boot_id=instance.boot_id)
-    # The list lags: it may still show an earlier boot as down that has long been replaced. Such
-    # a line says nothing about the boot that serves now.
+    # The list lags and may show an earlier boot as down, which doesn't concern the current one.
     is_current = line.boot_id == instance.boot_id and instance.status is InstanceStatus.SERVING
     if line.state is ListedState.DOWN and is_current:
         body = InstanceObserved(
@@ -113,9 +112,8 @@
 def _report_entry_gone(fleet: FleetState, line: ListedInstance) -> Iterator[tuple[str, RecordBody]]:
     """Report every incarnation of a terminated entry instance as gone.
 
-    The platform never starts an instance again under the id of a terminated one, so the lag of
-    the list can only make this late, never wrong. `down` or absence prove nothing: the process
-    may be cut off and go on serving.
+    The platform doesn't reuse the id of a terminated instance, so a lagging list only delays
+    this report. `down` or absence don't suffice: the process may be partitioned and still serve.
     """
     for entry in all_incarnations(fleet.membership):
         if entry.instance == line.id:
--- a/heatherkeel/entry/exchanges.py
+++ b/heatherkeel/entry/exchanges.py
@@ -1,4 +1,4 @@
-"""Brings the effects that concern one caller's request to the task that serves it."""
+"""Delivers the effects of each request to the task that serves it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Exchange:
-    """One request from its arrival to its final answer, with effects not yet carried out."""
+    """One request in progress, with a queue of its pending effects."""
 
     def __init__(self, *, request_id: str) -> None:
         self.request_id = request_id
@@ -32,12 +32,12 @@
         self.arrived = trio.Event()
 
     def hear(self, effect: RequestEffect) -> None:
-        """Take an effect that another task's event may have caused."""
+        """Queue an effect; it may result from another task's event."""
         self.inbox.append(effect)
         self.arrived.set()
 
     async def async_next(self) -> RequestEffect:
-        """Return the next effect, as soon as there is one."""
+        """Wait for the next effect and return it."""
         while not self.inbox:
             self.arrived = trio.Event()
             await self.arrived.wait()
@@ -55,13 +55,13 @@
             node.subscribe(effect_type, hearer)
 
     def open(self) -> Exchange:
-        """Return an exchange with an id that no other request of this process has."""
+        """Return a new exchange with an id that is unique in this process."""
         exchange = Exchange(request_id=str(next(self.numbers)))
         self.by_id[exchange.request_id] = exchange
         return exchange
 
     def close(self, exchange: Exchange) -> None:
-        """Forget an exchange that has its final answer."""
+        """Remove an exchange after its final response."""
         del self.by_id[exchange.request_id]
 
     def _hear(self, effect: RequestEffect) -> None:
--- a/heatherkeel/entry/front.py
+++ b/heatherkeel/entry/front.py
@@ -1,4 +1,4 @@
-"""The callers' side: takes a request through the reducer, and carries out what it decides."""
+"""Serves callers: passes each request to the reducer and carries out the effects."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 @dataclass(kw_only=True)
 class Call:
-    """One caller's request while it is served."""
+    """The state of one caller's request while it is served."""
 
     exchange: Exchange
     outgoing: OutgoingRequest
@@ -67,7 +67,7 @@
 
 
 class Front:
-    """The ASGI application that callers see."""
+    """The ASGI application for callers' requests to targets."""
 
     def __init__(self, *, node: Node) -> None:
         self.node = node
@@ -80,7 +80,7 @@
         node.subscribe(CloseConnections, self.connections.retire)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin to write claims, and to watch callers."""
+        """Start the background writes of claims and the detection of disconnected callers."""
         self.nursery = nursery
         self.claims.start(nursery)
 
@@ -165,10 +165,9 @@
             call.watch.cancel()
 
     async def async_watch_callers(self) -> None:
-        """Begin to watch the callers of requests that were not answered since the last time.
+        """Start a disconnect watcher for each request that is still open; called by a timer.
 
-        A task for every caller costs more than all decisions on its request, and most requests
-        are answered before it would have anything to tell.
+        Most requests end before the timer fires, which saves a task for each of them.
         """
         assert self.nursery is not None
         calls, self.unwatched = self.unwatched, []
@@ -177,10 +176,11 @@
                 self.nursery.start_soon(self._async_watch_caller, call)
 
     async def _async_watch_caller(self, call: Call) -> None:
-        """Notice that the caller hung up.
+        """Handle a disconnect of the caller.
 
-        What may be sent again is stopped, and its connection closed, so that the late answer can
-        reach nobody else. What may run only once goes on, so that a repeat finds its outcome.
+        An idempotent request is cancelled and its connection closed, so that a late response
+        can't reach another caller. Any other request continues, so that a retry finds its
+        outcome.
         """
         with call.watch:
             while (await call.receive())["type"] != "http.disconnect":
@@ -193,7 +193,7 @@
                 call.scope.cancel()
 
     async def _async_carry_out(self, call: Call) -> None:
-        """Carry out the effects of one request until its final answer."""
+        """Carry out the effects of one request until its final response."""
         while True:
             match await call.exchange.async_next():
                 case Send() as effect:
@@ -208,7 +208,7 @@
                 case Replay() as effect:
                     return await async_replay(call.answer, effect)
                 case AbortAnswer():
-                    # Ending without the rest makes the server close the caller's connection.
+                    # The server closes the connection of a response that ends early.
                     return None
 
     async def _async_attempt(self, call: Call, effect: Send) -> None:
@@ -227,7 +227,7 @@
             report(call.attempt.result)
 
     def _report(self, call: Call, effect: Send, started_ms: int, result: AttemptResult) -> None:
-        """Tell the reducer; the connection is idle again or closed by now."""
+        """Report the attempt to the reducer after its connection is idle or closed."""
         now_ms = monotonic_ms()
         attempt = call.attempt
         whole = attempt is not None and result is AttemptResult.WHOLE_ANSWER
@@ -241,8 +241,8 @@
             server_error=attempt is not None and whole and attempt.status >= 500,
             answer=kept,
         )
-        # First, or the slot that the attempt frees goes to a request that waits: new work for
-        # a target that has just said that it takes none.
+        # Must precede AttemptEnded, which frees the slot: a waiting request would otherwise be
+        # sent to a target that has just announced its stop.
         if attempt is not None and attempt.leaving:
             self.node.take(
                 TargetLeaving(now_ms=now_ms, target=effect.target, source=LeavingSource.TARGET)
@@ -251,7 +251,7 @@
 
 
 def _log_unknown(call: Call, refusal: Refuse) -> None:
-    """Tell operators which request may have run: somebody has to look at the target."""
+    """Log a request that may have run; an operator has to check the target."""
     request_id = dict(call.outgoing.headers).get(REQUEST_ID_HEADER.encode(), b"")
     extra = {"event": "outcome_unknown", "request_id": request_id.decode("latin-1")}
     _LOGGER.warning("outcome unknown: %s", refusal.reason, extra=extra)
--- a/heatherkeel/entry/node.py
+++ b/heatherkeel/entry/node.py
@@ -1,4 +1,4 @@
-"""Holds the state of one entry process and carries every event through the reducer."""
+"""State of one entry process; every event passes through its reducer."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Node:
-    """The parts of one entry process that decide, write and read."""
+    """The reducer state of one entry process, with its log reader, log writer and timers."""
 
     def __init__(self, *, settings: EntrySettings) -> None:
         self.settings = settings
@@ -96,11 +96,11 @@
         )
 
     def subscribe(self, effect_type: type[EffectT], hearer: Callable[[EffectT], None]) -> None:
-        """Call `hearer` with every effect of exactly this type."""
+        """Call `hearer` with every effect of exactly this type, not of its subclasses."""
         self.hearers.setdefault(effect_type, []).append(hearer)
 
     async def async_rebuild(self) -> bool:
-        """Replace a state that the log can't continue by a newer snapshot; False if none is."""
+        """Load a newer snapshot if the log can't continue the state; False if there is none."""
         loaded = await self.store.async_load_newest(above=self.state.fleet.next_offset)
         if isinstance(loaded, Err) or loaded.ok_value is None:
             return False
@@ -108,7 +108,7 @@
         return True
 
     def restore(self, fleet: FleetState) -> None:
-        """Put another state in force; never an older one, as nothing accepted may revert."""
+        """Replace the state, unless the new one is older: an accepted record must not be undone."""
         if fleet.next_offset < self.state.fleet.next_offset:
             return
         self.state.fleet = fleet
@@ -120,18 +120,18 @@
         self.take(FleetRestored(now_ms=monotonic_ms()))
 
     def take_record(self, record: LogRecord) -> None:
-        """Fold one record of the log."""
+        """Fold one record that was read from the log."""
         self.recent.add(record)
         self.take(record)
 
     def take_relayed(self, record: LogRecord) -> None:
-        """Fold a record that a peer has read from the log."""
+        """Fold a record that a peer has read from the log and relayed."""
         self.follower.note_folded(record)
         self.clock.hear_record(record.at_ms)
         self.take_record(record)
 
     def take(self, event: Event) -> list[Effect]:
-        """Reduce one event, tell the effects to those who subscribed, and return them all."""
+        """Reduce one event, pass its effects to their subscribers, and return all effects."""
         effects = reduce(self.state, event)
         for effect in effects:
             for hearer in self.hearers.get(type(effect), ()):
--- a/heatherkeel/entry/probes.py
+++ b/heatherkeel/entry/probes.py
@@ -1,4 +1,4 @@
-"""Asks a target whether it answers."""
+"""Health probes of targets."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 async def async_probe(address: str) -> bool:
-    """Say whether the target at `host:port` answers a health probe on a new connection.
+    """Return whether the target at `host:port` passes a health check on a new connection.
 
-    A connection that was open before proves nothing: it can be silent for good while new ones
-    work, or still be open at a target that takes no new ones.
+    An existing connection may have been dropped while new ones work, or may still be open at a
+    target that accepts no new ones.
     """
     async with httpcore.AsyncConnectionPool(retries=0) as pool:
         try:
--- a/heatherkeel/entry/process.py
+++ b/heatherkeel/entry/process.py
@@ -1,4 +1,4 @@
-"""Puts the parts of an entry process together, and runs them until it is told to stop."""
+"""Assembles an entry process and runs it until it is stopped."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class EntryProcess:
-    """The servers and the node of one entry process."""
+    """The node, HTTP servers and peer links of one entry process."""
 
     def __init__(self, *, settings: EntrySettings) -> None:
         self.settings = settings
@@ -74,7 +74,7 @@
         )
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Open the admin port, read the log to its end, and only then take callers."""
+        """Open the admin port, catch up with the log, and then accept callers."""
         count_effects(self.node, self.metrics)
         self.metrics.register([self.gauges])
         self.node.writer.start(nursery)
@@ -90,8 +90,8 @@
         JobsDuty(node=self.node).start(nursery)
         self._subscribe_timers()
         self.node.timers.start(nursery)
-        # A drain waits for the entry instances that the fold knows when it starts. Callers that
-        # came before would be cut: nobody waits for this process when their target is stopped.
+        # A drain waits only for entry instances that the fold knows when it starts. Earlier
+        # requests of this process could be cut off by the stop of their target.
         await self.duties.waited_for.wait()
         await self.http.start(nursery)
         _LOGGER.info(
@@ -128,13 +128,13 @@
         )
 
     async def _async_tick_queues(self) -> None:
-        """Let the reducer see that time has passed, while something waits for it."""
+        """Send a tick to the reducer while requests or ejected targets wait for a time."""
         routing = self.node.state.local.routing
         if routing.deadlines or routing.ejected:
             self.node.take(QueueTick(now_ms=monotonic_ms()))
 
     async def close(self) -> None:
-        """Stop in order; the admin port answers to the end, so that the stop can be watched."""
+        """Stop gracefully; the admin port closes last, so that the stop can be monitored."""
         await async_stop_callers(
             http=self.http, readiness=self.readiness, fleet=self.node.state.fleet
         )
@@ -143,7 +143,7 @@
         await self.admin.close()
 
     async def async_close_connections(self) -> None:
-        """Close what was opened to targets and to the platform."""
+        """Close the connections to targets and to the platform."""
         await self.front.close()
         await self.node.client.close()
 
@@ -164,7 +164,6 @@
                 await process.close()
             nursery.cancel_scope.cancel()
     finally:
-        # The library waits for its open sockets when the interpreter ends; a broken invariant
-        # must end the process.
+        # An open socket would keep the interpreter from exiting after an error.
         process.links.close()
     await process.async_close_connections()
--- a/heatherkeel/entry/reading.py
+++ b/heatherkeel/entry/reading.py
@@ -1,4 +1,4 @@
-"""Reads a caller's request: its options, its body, and what of its headers goes on to a target."""
+"""Reads a caller's request: its options, its body and the headers to forward."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerOptions:
-    """What a caller may ask for by headers; `deadline_ms` 0 takes the service's."""
+    """Options from the caller's headers; `deadline_ms` 0 means the service's deadline."""
 
     key: str = ""
     deadline_ms: int = 0
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReadRequest:
-    """A request that is wholly read."""
+    """A request whose body was read completely."""
 
     options: CallerOptions
     body: bytes
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class InputFault:
-    """Why a request is not taken."""
+    """Why a request is not accepted."""
 
     reason: RefusalReason
     detail: str
 
 
 async def async_read(routing: RoutingState, request: Request) -> Result[ReadRequest, InputFault]:
-    """Read headers and body; of a path without a service nothing more is read."""
+    """Read the options and the body; the body is skipped if no service matches the path."""
     options = read_options(request.headers)
     if isinstance(options, Err):
         return Err(InputFault(reason=RefusalReason.BAD_HEADER, detail=options.err_value))
@@ -58,7 +58,7 @@
 
 
 def read_options(headers: dict[str, str]) -> Result[CallerOptions, str]:
-    """Read the caller's headers, or say in words what is wrong with them."""
+    """Parse the caller's options, or return a description of the invalid header."""
     key = headers.get(KEY_HEADER, "")
     if len(key) > MAX_KEY_CHARS:
         return Err(f"{KEY_HEADER} has {len(key)} characters, at most {MAX_KEY_CHARS} are taken")
@@ -69,7 +69,7 @@
 
 
 def outgoing_headers(headers: dict[str, str]) -> list[tuple[bytes, bytes]]:
-    """Return what goes on to the target: all but what concerns the caller's connection only."""
+    """Return the headers to forward to the target, without hop-by-hop headers."""
     listed = headers.get("connection", "").lower().split(",")
     dropped = HOP_BY_HOP_HEADERS.union(name.strip() for name in listed)
     return [
@@ -80,7 +80,7 @@
 
 
 def fingerprint(outgoing: OutgoingRequest) -> str:
-    """Return a digest that tells a repeat from another request under the same key."""
+    """Return a digest that detects a different request under the same idempotency key."""
     digest = hashlib.sha256()
     for part in (outgoing.method.encode(), outgoing.raw_target, outgoing.body):
         digest.update(len(part).to_bytes(8, "big"))
--- a/heatherkeel/entry/sender.py
+++ b/heatherkeel/entry/sender.py
@@ -1,4 +1,4 @@
-"""Sends one request to one target, and says for sure how far it got."""
+"""Sends a request to a target, and determines how far a failed attempt got."""
 
 from __future__ import annotations
 
@@ -28,41 +28,41 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OutgoingRequest:
-    """What is sent to a target, whatever the attempt."""
+    """The request that each attempt sends to its target."""
 
     method: str
     raw_target: bytes
     headers: RawHeaders
     body: bytes
     keep_answer: bool
-    """Its answer is recorded, so its digest is needed."""
+    """Whether the response is recorded, which needs its digest."""
 
 
 @dataclass(kw_only=True)
 class Attempt:
-    """One send, with what has come back so far."""
+    """One attempt to send a request, with the response received so far."""
 
     sent: bool = False
-    """Some bytes of the request may have gone out."""
+    """Whether bytes of the request may have been sent."""
     status: int = 0
     headers: RawHeaders = field(default_factory=list)
     held: bytearray = field(default_factory=bytearray)
-    """The answer so far, as long as nothing of it went to the caller."""
+    """The response body so far, while nothing of it was sent to the caller."""
     streaming: bool = False
-    """A part of the answer went to the caller."""
+    """Whether a part of the response was sent to the caller."""
     result: AttemptResult = AttemptResult.TIMED_OUT
     leaving: bool = False
-    """The target refused and closes its connection: it takes no more work, not only now."""
+    """Whether the target refused and closed its connection, so it is shutting down."""
     digest: Any = field(default_factory=hashlib.sha256)
     size: int = 0
 
     async def async_trace(self, event: str, info: dict[str, Any]) -> None:
-        """Hear from the library how far it is."""
+        """Handle a trace event of httpcore."""
         if event.endswith(_SENT_EVENT):
             self.sent = True
 
     def recorded(self) -> RecordedAnswer:
-        """Return what the log keeps of the answer."""
+        """Return the response as it is stored in the log."""
         body = base64.b64encode(self.held).decode()
         content_type = dict(self.headers).get(b"content-type", b"").decode("latin-1")
         return RecordedAnswer(
@@ -83,7 +83,7 @@
     async def async_send(
         self, outgoing: OutgoingRequest, effect: Send, answer: AsgiSend
     ) -> Attempt:
-        """Make one attempt; an answer too large to hold goes to the caller as it comes."""
+        """Make one attempt; a response too large to buffer is streamed to the caller."""
         attempt = Attempt()
         with trio.move_on_after(effect.timeout_ms / 1000):
             attempt.result = await self._async_try(attempt, outgoing, effect, answer)
@@ -114,7 +114,7 @@
 
 
 def _failure_of(attempt: Attempt, result: AttemptResult) -> AttemptResult:
-    """Return what a failure means, by how far the attempt had come."""
+    """Return the result of a failed attempt, depending on how far it got."""
     if not attempt.sent:
         return AttemptResult.CONNECT_FAILED
     return AttemptResult.BROKEN_IN_ANSWER if attempt.streaming else result
@@ -132,10 +132,10 @@
     effect: Send,
     answer: AsgiSend,
 ) -> AttemptResult:
-    """Read the answer to its end; the library raises if it ends before its length.
+    """Read the response to its end; httpcore raises if it ends before its content length.
 
-    A half-received answer must not look whole. It is held back until it is, and of one that is
-    too large to hold the caller's connection is broken if the rest doesn't come.
+    A partial response must not look complete. It is buffered until it is complete; if one that
+    is too large to buffer breaks off, the caller's connection is closed.
     """
     attempt.status = response.status
     told = {(name.lower(), value) for name, value in response.headers}
@@ -153,7 +153,7 @@
 
 
 async def _async_take_part(attempt: Attempt, part: bytes, answer: AsgiSend) -> None:
-    """Hold a part of the answer, or pass it on; a slow caller holds up the target."""
+    """Buffer or stream a part of the response; a slow caller slows the target down."""
     if not attempt.streaming and len(attempt.held) + len(part) <= MAX_HELD_ANSWER_BYTES:
         attempt.held += part
         return
@@ -167,7 +167,7 @@
 
 
 async def async_pass_on(answer: AsgiSend, attempt: Attempt, *, is_head: bool) -> None:
-    """Give the caller a whole answer that was held."""
+    """Send a complete, buffered response to the caller."""
     if attempt.streaming:
         return
     await async_send_whole(
--- a/heatherkeel/entry/start.py
+++ b/heatherkeel/entry/start.py
@@ -1,4 +1,4 @@
-"""Gives a new process a state that it may serve by, or says why it has none."""
+"""Loads the initial state of an entry process."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class NodeStart:
-    """Starts from the newest whole snapshot, from the log's first record, or from a peer."""
+    """Starts from the newest complete snapshot, from the log's first record, or from a peer."""
 
     def __init__(self, *, node: Node, links: PeerLinks) -> None:
         self.node = node
@@ -28,7 +28,7 @@
         self.backoff = Backoff(first_s=START_FIRST_PAUSE_S, limit_s=START_LONGEST_PAUSE_S)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin in the background; `done` tells the end."""
+        """Start in the background; `done` is set when the state is ready."""
         nursery.start_soon(self._async_run, nursery)
 
     async def _async_run(self, nursery: trio.Nursery) -> None:
@@ -41,7 +41,7 @@
         await self._async_keep_sponsor()
 
     async def _async_keep_sponsor(self) -> None:
-        """Look for another sponsor when the first is lost, until the fold knows this process."""
+        """Replace a lost sponsor, until the fold includes this process."""
         while self.node.state.local.peers.sponsorship is not None:
             await trio.sleep(self.backoff.next_s())
             sponsorship = self.node.state.local.peers.sponsorship
@@ -52,7 +52,7 @@
                 self.node.restore(fleet)
 
     async def _async_try(self) -> bool:
-        """Say whether the log can be followed from here."""
+        """Try to load a state; return whether the log can be followed from it."""
         loaded = await self.node.store.async_load_newest(above=0)
         if isinstance(loaded, Err):
             return await self._async_without_platform(loaded.err_value)
@@ -62,21 +62,23 @@
         return True
 
     async def _async_has_first_record(self) -> bool:
-        """Without a snapshot only a log that still has its first record gives the state."""
+        """Return whether the log still has its first record, which is needed without a snapshot."""
         outcome = await self.node.client.async_read(
             self.node.settings.platform.stream, offset=0, max_records=1, wait_ms=0
         )
         if isinstance(outcome, Ok):
             return True
         if outcome.err_value.failure is PlatformFailure.OUT_OF_RETENTION:
-            self._tell("no usable snapshot, and the log's first records are no longer kept")
+            self._tell("no usable snapshot, and the log's first records are out of retention")
         return False
 
     async def _async_without_platform(self, error: PlatformError) -> bool:
-        """Take the state of a peer, which sponsors this process until it has joined."""
+        """Load the state of a peer, which sponsors this process until it has joined."""
         fleet = await self.links.async_fetch_state()
         if fleet is None:
-            self._tell(f"the platform does not answer ({error.detail}), and no peer gave a state")
+            self._tell(
+                f"the platform is unresponsive ({error.detail}), and no peer provided a state"
+            )
             return False
         self.node.restore(fleet)
         self.node.started_from_peer = True
--- a/heatherkeel/entry/stopping.py
+++ b/heatherkeel/entry/stopping.py
@@ -1,4 +1,4 @@
-"""The order of a planned stop: not ready first, then requests in progress, then the process."""
+"""Graceful shutdown: report not ready, then finish the requests in progress."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 async def async_stop_callers(*, http: HttpServer, readiness: Readiness, fleet: FleetState) -> None:
-    """Take no more callers, and let every request in progress have its whole answer.
+    """Stop accepting callers, and finish all requests in progress.
 
-    The balancer must learn first: a port that closes while the balancer still sends callers
-    there refuses them. Callers are therefore taken until `readiness_wait_ms` is over.
+    Requests are accepted for `readiness_wait_ms` after the process reports not ready, since the
+    load balancer would otherwise send callers to a closed port.
     """
     settings = readiness.node.settings.stop
     readiness.stop()
@@ -31,7 +31,7 @@
 
 
 def longest_deadline_s(fleet: FleetState) -> float:
-    """Return the longest deadline of any service in force: no request lasts longer."""
+    """Return the longest deadline of any active service, in seconds."""
     deadlines_ms = [
         stored.entry.limits.deadline_ms
         for stored in fleet.catalogue.entries.values()
--- a/heatherkeel/entry/turns.py
+++ b/heatherkeel/entry/turns.py
@@ -1,4 +1,4 @@
-"""Who does shared work first: every entry instance may do it, so that one of them always does."""
+"""Ranks entry instances for shared work, so that another one takes over if the first fails."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def rank_of(fleet: FleetState, instance: str, *, now_ms: int) -> int:
-    """Return this entry instance's place among those with a lease, 0 for the first in line.
+    """Return this entry instance's rank among those with a lease, starting at 0.
 
-    `now_ms` is in log time. The order is that of a hash of the ids, alike at every reader of the
-    same state.
+    `now_ms` is in log time. Instances are ordered by a hash of their ids, so every process gets
+    the same order from the same state.
     """
     live = {
         name
@@ -27,10 +27,10 @@
 
 
 class Turns:
-    """Hands out work by rank: the next in line takes over what lies undone for `takeover_ms`.
+    """Schedules work by rank: each next rank takes over after another `takeover_ms`.
 
-    This only saves wasted work. Two processes may still take the same turn, one of them after a
-    pause; the fold lets in one record for a version, and the platform one operation for an id.
+    This only avoids duplicate work. Two processes may still do the same work; the fold accepts
+    one record per version, and the platform one operation per id.
     """
 
     def __init__(self, *, takeover_ms: int, retry_ms: int) -> None:
@@ -40,9 +40,9 @@
         self.tried_ms: dict[str, int] = {}
 
     def choose(self, keys: Iterable[str], *, rank: int, now_ms: int) -> list[str]:
-        """Return the keys that are this process's turn now; `now_ms` is monotonic.
+        """Return the keys that are due for this process; `now_ms` is monotonic.
 
-        `keys` names all work that is open now; what is no longer named is forgotten.
+        `keys` names all pending work; keys that are no longer passed are forgotten.
         """
         self.first_seen_ms = {key: self.first_seen_ms.get(key, now_ms) for key in keys}
         self.tried_ms = {
