--- a/heatherkeel/entry/answers.py
+++ b/heatherkeel/entry/answers.py
@@ -41,7 +41,7 @@
     Outcome.UNKNOWN: "It may have run",
 }
 
-_DROPPED: Final = frozenset(name.encode() for name in HOP_BY_HOP_HEADERS) | {
+_REMOVED_HEADERS: Final = frozenset(name.encode() for name in HOP_BY_HOP_HEADERS) | {
     OUTCOME_HEADER.encode(),
     TARGET_HEADER.encode(),
     # The server sets its own date.
@@ -49,15 +49,17 @@
 }
 
 
-def pass_on_headers(target: str, headers: RawHeaders) -> RawHeaders:
+def response_headers_for_caller(target: str, headers: RawHeaders) -> RawHeaders:
     """Return the headers of a target's response as they are sent to the caller."""
-    kept = [(name.lower(), value) for name, value in headers if name.lower() not in _DROPPED]
+    kept = [
+        (name.lower(), value) for name, value in headers if name.lower() not in _REMOVED_HEADERS
+    ]
     kept.append((OUTCOME_HEADER.encode(), Outcome.RAN.value.encode()))
     kept.append((TARGET_HEADER.encode(), target.encode()))
     return kept
 
 
-async def async_send_whole(
+async def async_send_complete(
     send: AsgiSend, *, status: int, headers: RawHeaders, body: bytes, is_head: bool
 ) -> None:
     """Send a complete response; a response to HEAD keeps the target's content length."""
--- a/heatherkeel/entry/const.py
+++ b/heatherkeel/entry/const.py
@@ -39,7 +39,7 @@
 IDEMPOTENT_METHODS: Final = frozenset({"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
 """Methods that may be retried (RFC 9110, section 9.2.2)."""
 
-MAX_HELD_ANSWER_BYTES: Final = 256 * 1024
+MAX_BUFFERED_RESPONSE_BYTES: Final = 256 * 1024
 """Largest response that is buffered until it is complete; a larger one is streamed."""
 
 MAX_CONNECTION_AGE_MS: Final = 60_000
--- a/heatherkeel/entry/duties.py
+++ b/heatherkeel/entry/duties.py
@@ -43,7 +43,7 @@
         """Address at which peers reach this process; set once the port is open."""
         self.joined = False
         self.leaving = False
-        self.waited_for = trio.Event()
+        self.included_in_drains = trio.Event()
         """Set once drains wait for this process, because it has joined or a peer sponsors it."""
         self.listing = InstanceListing(node=node)
         self.acknowledger = Acknowledger(node=node)
@@ -54,12 +54,12 @@
     def start(self) -> None:
         """Register all periodic work with the timer service."""
         if self.node.state.local.peers.sponsorship is not None:
-            self.waited_for.set()
+            self.included_in_drains.set()
         settings = self.node.settings
         self.node.timers.subscribe(
             name="lease",
             interval_ms=settings.routing.renew_interval_ms,
-            callback=self.async_hold_lease,
+            callback=self.async_renew_lease,
         )
         self.node.subscribe(LeaseWanted, lambda _: self.node.timers.wake("lease"))
         self.node.timers.subscribe(
@@ -93,32 +93,32 @@
                 interval_ms=interval_ms,
                 callback=callback,
                 idle_interval_ms=IDLE_INTERVAL_MS,
-                is_idle=self._nothing_drains,
+                is_idle=self._has_no_drains,
             )
             self.node.subscribe(InstanceChanged, partial(self._wake, name))
 
-    def _nothing_drains(self) -> bool:
+    def _has_no_drains(self) -> bool:
         return not self.node.state.fleet.waves.drains
 
     def _wake(self, name: str, _: InstanceChanged) -> None:
         self.node.timers.wake(name)
 
-    async def async_hold_lease(self) -> None:
+    async def async_renew_lease(self) -> None:
         """Join the fleet, or renew the routing lease."""
         if self.leaving:
             return
         await self.node.follower.caught_up.wait()
         sent_ms = monotonic_ms()
-        renews = self.joined
-        body = self._renewal() if self.joined else self._join()
+        is_renewal = self.joined
+        body = self._make_renewal() if self.joined else self._make_join()
         outcome = await self.node.writer.async_write(body, timeout_s=WRITE_TIMEOUT_S)
         match outcome:
             case Ok(settled):
                 self.joined = not isinstance(settled.outcome, Rejected)
-                self._tell_lease(sent_ms)
+                self._report_lease(sent_ms)
                 if self.joined:
-                    self.waited_for.set()
-                if renews and not self.joined:
+                    self.included_in_drains.set()
+                if is_renewal and not self.joined:
                     self.node.timers.wake("lease")
             case Err(failure):
                 _LOGGER.warning("lease: %s", failure, extra={"event": "lease_not_renewed"})
@@ -138,7 +138,7 @@
         )
         await self.node.writer.async_write(body, timeout_s=LEAVE_TIMEOUT_S)
 
-    def _tell_lease(self, sent_ms: int) -> None:
+    def _report_lease(self, sent_ms: int) -> None:
         now_ms = monotonic_ms()
         if not self.joined:
             self.node.take(LeaseRefused(now_ms=now_ms))
@@ -146,7 +146,7 @@
         lease_ms = self.node.settings.routing.lease_ms
         self.node.take(LeaseGranted(now_ms=now_ms, sent_ms=sent_ms, lease_ms=lease_ms))
 
-    def _join(self) -> EntryJoin:
+    def _make_join(self) -> EntryJoin:
         settings = self.node.settings
         return EntryJoin(
             instance=settings.instance.id,
@@ -156,7 +156,7 @@
             lease_ms=settings.routing.lease_ms,
         )
 
-    def _renewal(self) -> EntryRenew:
+    def _make_renewal(self) -> EntryRenew:
         return EntryRenew(
             instance=self.node.settings.instance.id,
             incarnation=self.node.incarnation,
@@ -167,4 +167,4 @@
     async def async_acknowledge_shares(self) -> None:
         """Renew immediately if peers can't raise their shares before this process acknowledges."""
         if is_acknowledgement_due(self.node.state):
-            await self.async_hold_lease()
+            await self.async_renew_lease()
--- a/heatherkeel/entry/duties_acknowledge.py
+++ b/heatherkeel/entry/duties_acknowledge.py
@@ -25,13 +25,13 @@
 
     async def async_acknowledge(self) -> None:
         """Acknowledge all drains that this process no longer uses, in one record."""
-        quiet = find_quiet_drains(self.node.state, monotonic_ms())
-        if not quiet:
+        drains = find_quiet_drains(self.node.state, monotonic_ms())
+        if not drains:
             return
         body = DrainAck(
             entry=self.node.settings.instance.id,
             incarnation=self.node.incarnation,
-            instances=tuple(quiet[:MAX_ACKNOWLEDGED_AT_ONCE]),
+            instances=tuple(drains[:MAX_ACKNOWLEDGED_AT_ONCE]),
         )
         outcome = await self.node.writer.async_write(body, timeout_s=WRITE_TIMEOUT_S)
         if isinstance(outcome, Err):
@@ -51,7 +51,7 @@
     the fold doesn't apply it to a later one.
     """
     routing = node.local.routing
-    quiet: list[AckedDrain] = []
+    drains: list[AckedDrain] = []
     for instance_id, drain in sorted(node.fleet.waves.drains.items()):
         if node.local.incarnation not in drain.waiting:
             continue
@@ -59,8 +59,8 @@
             continue
         view = routing.targets.get(instance_id)
         if view is None or view.in_progress == 0:
-            quiet.append(AckedDrain(instance=instance_id, drain=drain.id))
-    return quiet
+            drains.append(AckedDrain(instance=instance_id, drain=drain.id))
+    return drains
 
 
 def is_done_sending(node: NodeState) -> bool:
--- a/heatherkeel/entry/duties_health.py
+++ b/heatherkeel/entry/duties_health.py
@@ -32,15 +32,15 @@
     async def async_observe(self) -> None:
         """Probe all suspect instances concurrently."""
         await self.node.follower.caught_up.wait()
-        doubtful = {
+        suspects = {
             f"{name}:{self.node.state.fleet.pools.instances[name].status}": name
-            for name in find_doubtful(self.node.state)
+            for name in find_suspects(self.node.state)
         }
         # The fold needs reports of several observers, so each process acts as rank 0.
-        due = self.turns.choose(doubtful, rank=0, now_ms=monotonic_ms())
+        due = self.turns.choose(suspects, rank=0, now_ms=monotonic_ms())
         async with trio.open_nursery() as nursery:
             for key in due:
-                nursery.start_soon(partial(self._async_probe, doubtful[key]))
+                nursery.start_soon(partial(self._async_probe, suspects[key]))
 
     async def _async_probe(self, name: str) -> None:
         address = self.node.state.fleet.pools.instances[name].address
@@ -59,7 +59,7 @@
             await self.node.writer.async_write(report, timeout_s=WRITE_TIMEOUT_S)
 
 
-def find_doubtful(node: NodeState) -> list[str]:
+def find_suspects(node: NodeState) -> list[str]:
     """Return the failed instances that have no drain, and those whose requests fail here."""
     failed = [
         name
--- a/heatherkeel/entry/duties_listing.py
+++ b/heatherkeel/entry/duties_listing.py
@@ -43,12 +43,12 @@
         """Read the list, update the router, and report what the log doesn't have yet."""
         match await self.node.client.async_list_instances():
             case Ok(listed):
-                self._take({instance.id: instance for instance in listed.instances})
+                self._apply({instance.id: instance for instance in listed.instances})
                 await self._async_report()
             case Err(error):
                 _LOGGER.warning("list: %s", error.detail, extra={"event": "list_failed"})
 
-    def _take(self, lines: dict[str, ListedInstance]) -> None:
+    def _apply(self, lines: dict[str, ListedInstance]) -> None:
         """Notify the router of targets that are leaving, live again or no longer listed."""
         now_ms = monotonic_ms()
         routing = self.node.state.local.routing
@@ -56,11 +56,11 @@
             self.node.take(TargetGone(now_ms=now_ms, target=name))
         for name, line in lines.items():
             target = routing.targets.get(name)
-            held_back = target is not None and (target.leaving or target.gone)
+            is_withheld = target is not None and (target.leaving or target.gone)
             if line.state is not ListedState.LIVE and name not in routing.leaving:
                 source = LeavingSource.PLATFORM_LIST
                 self.node.take(TargetLeaving(now_ms=now_ms, target=name, source=source))
-            elif line.state is ListedState.LIVE and (held_back or name in routing.leaving):
+            elif line.state is ListedState.LIVE and (is_withheld or name in routing.leaving):
                 self.node.take(TargetLive(now_ms=now_ms, target=name))
         self.by_id = lines
 
--- a/heatherkeel/entry/exchanges.py
+++ b/heatherkeel/entry/exchanges.py
@@ -28,20 +28,20 @@
 
     def __init__(self, *, request_id: str) -> None:
         self.request_id = request_id
-        self.inbox: deque[RequestEffect] = deque()
-        self.arrived = trio.Event()
+        self.pending: deque[RequestEffect] = deque()
+        self.has_pending = trio.Event()
 
-    def hear(self, effect: RequestEffect) -> None:
+    def add_effect(self, effect: RequestEffect) -> None:
         """Queue an effect; it may result from another task's event."""
-        self.inbox.append(effect)
-        self.arrived.set()
+        self.pending.append(effect)
+        self.has_pending.set()
 
     async def async_next(self) -> RequestEffect:
         """Wait for the next effect and return it."""
-        while not self.inbox:
-            self.arrived = trio.Event()
-            await self.arrived.wait()
-        return self.inbox.popleft()
+        while not self.pending:
+            self.has_pending = trio.Event()
+            await self.has_pending.wait()
+        return self.pending.popleft()
 
 
 class Exchanges:
@@ -49,14 +49,14 @@
 
     def __init__(self, *, node: Node) -> None:
         self.by_id: dict[str, Exchange] = {}
-        self.numbers = count(1)
-        hearer: Callable[[Any], None] = self._hear
+        self.request_numbers = count(1)
+        subscriber: Callable[[Any], None] = self._deliver
         for effect_type in REQUEST_EFFECTS:
-            node.subscribe(effect_type, hearer)
+            node.subscribe(effect_type, subscriber)
 
     def open(self) -> Exchange:
         """Return a new exchange with an id that is unique in this process."""
-        exchange = Exchange(request_id=str(next(self.numbers)))
+        exchange = Exchange(request_id=str(next(self.request_numbers)))
         self.by_id[exchange.request_id] = exchange
         return exchange
 
@@ -64,7 +64,7 @@
         """Remove an exchange after its final response."""
         del self.by_id[exchange.request_id]
 
-    def _hear(self, effect: RequestEffect) -> None:
+    def _deliver(self, effect: RequestEffect) -> None:
         exchange = self.by_id.get(effect.request_id)
         if exchange is not None:
-            exchange.hear(effect)
+            exchange.add_effect(effect)
--- a/heatherkeel/entry/front.py
+++ b/heatherkeel/entry/front.py
@@ -45,7 +45,7 @@
 from .exchanges import Exchange, Exchanges
 from .node import Node
 from .reading import InputFault, ReadRequest, async_read, fingerprint, outgoing_headers
-from .sender import Attempt, OutgoingRequest, Sender, async_pass_on
+from .sender import Attempt, OutgoingRequest, Sender, async_send_buffered
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -58,12 +58,12 @@
     outgoing: OutgoingRequest
     idempotent: bool
     receive: Receive
-    answer: AsgiSend
-    gone: bool = False
+    send: AsgiSend
+    caller_gone: bool = False
     attempt: Attempt | None = None
-    scope: trio.CancelScope = field(default_factory=trio.CancelScope)
+    attempt_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     ended: bool = False
-    watch: trio.CancelScope = field(default_factory=trio.CancelScope)
+    watch_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
 
 class Front:
@@ -76,7 +76,7 @@
         self.connections = TargetConnections()
         self.sender = Sender(connections=self.connections)
         self.nursery: trio.Nursery | None = None
-        self.unwatched: list[Call] = []
+        self.unwatched_calls: list[Call] = []
         node.subscribe(CloseConnections, self.connections.retire)
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -145,7 +145,7 @@
             outgoing=outgoing,
             idempotent=idempotent,
             receive=request.receive,
-            answer=send,
+            send=send,
         )
         arrived = RequestArrived(
             now_ms=monotonic_ms(),
@@ -157,12 +157,12 @@
             deadline_ms=options.deadline_ms,
         )
         self.node.take(arrived)
-        self.unwatched.append(call)
+        self.unwatched_calls.append(call)
         try:
-            await self._async_carry_out(call)
+            await self._async_carry_out_effects(call)
         finally:
             call.ended = True
-            call.watch.cancel()
+            call.watch_scope.cancel()
 
     async def async_watch_callers(self) -> None:
         """Start a disconnect watcher for each request that is still open; called by a timer.
@@ -170,7 +170,7 @@
         Most requests end before the timer fires, which saves a task for each of them.
         """
         assert self.nursery is not None
-        calls, self.unwatched = self.unwatched, []
+        calls, self.unwatched_calls = self.unwatched_calls, []
         for call in calls:
             if not call.ended:
                 self.nursery.start_soon(self._async_watch_caller, call)
@@ -182,17 +182,17 @@
         can't reach another caller. Any other request continues, so that a retry finds its
         outcome.
         """
-        with call.watch:
+        with call.watch_scope:
             while (await call.receive())["type"] != "http.disconnect":
                 continue
             if call.ended:
                 return
-            call.gone = True
+            call.caller_gone = True
             self.node.take(CallerGone(now_ms=monotonic_ms(), request_id=call.exchange.request_id))
             if call.idempotent:
-                call.scope.cancel()
+                call.attempt_scope.cancel()
 
-    async def _async_carry_out(self, call: Call) -> None:
+    async def _async_carry_out_effects(self, call: Call) -> None:
         """Carry out the effects of one request until its final response."""
         while True:
             match await call.exchange.async_next():
@@ -200,13 +200,13 @@
                     await self._async_attempt(call, effect)
                 case PassOn() if call.attempt is not None:
                     is_head = call.outgoing.method == "HEAD"
-                    return await async_pass_on(call.answer, call.attempt, is_head=is_head)
+                    return await async_send_buffered(call.send, call.attempt, is_head=is_head)
                 case Refuse() as effect:
                     if effect.outcome is Outcome.UNKNOWN:
                         _log_unknown(call, effect)
-                    return await async_refuse(call.answer, effect)
+                    return await async_refuse(call.send, effect)
                 case Replay() as effect:
-                    return await async_replay(call.answer, effect)
+                    return await async_replay(call.send, effect)
                 case AbortAnswer():
                     # The server closes the connection of a response that ends early.
                     return None
@@ -214,32 +214,36 @@
     async def _async_attempt(self, call: Call, effect: Send) -> None:
         started_ms = monotonic_ms()
         call.attempt = None
-        call.scope = trio.CancelScope()
-        if call.gone and call.idempotent:
-            call.scope.cancel()
-        report = partial(self._report, call, effect, started_ms)
-        with call.scope:
+        call.attempt_scope = trio.CancelScope()
+        if call.caller_gone and call.idempotent:
+            call.attempt_scope.cancel()
+        report = partial(self._report_attempt, call, effect, started_ms)
+        with call.attempt_scope:
             try:
-                call.attempt = await self.sender.async_send(call.outgoing, effect, call.answer)
+                call.attempt = await self.sender.async_send(call.outgoing, effect, call.send)
             except trio.Cancelled:
                 report(AttemptResult.CALLER_GONE)
                 raise
             report(call.attempt.result)
 
-    def _report(self, call: Call, effect: Send, started_ms: int, result: AttemptResult) -> None:
+    def _report_attempt(
+        self, call: Call, effect: Send, started_ms: int, result: AttemptResult
+    ) -> None:
         """Report the attempt to the reducer after its connection is idle or closed."""
         now_ms = monotonic_ms()
         attempt = call.attempt
-        whole = attempt is not None and result is AttemptResult.WHOLE_ANSWER
-        kept = attempt.recorded() if attempt and whole and call.outgoing.keep_answer else None
+        is_complete = attempt is not None and result is AttemptResult.WHOLE_ANSWER
+        recorded = (
+            attempt.recorded() if attempt and is_complete and call.outgoing.keep_answer else None
+        )
         ended = AttemptEnded(
             now_ms=now_ms,
             request_id=call.exchange.request_id,
             target=effect.target,
             result=result,
             latency_ms=now_ms - started_ms,
-            server_error=attempt is not None and whole and attempt.status >= 500,
-            answer=kept,
+            server_error=attempt is not None and is_complete and attempt.status >= 500,
+            answer=recorded,
         )
         # Must precede AttemptEnded, which frees the slot: a waiting request would otherwise be
         # sent to a target that has just announced its stop.
--- a/heatherkeel/entry/node.py
+++ b/heatherkeel/entry/node.py
@@ -64,14 +64,14 @@
             clock=self.clock,
             wait_ms=settings.platform.poll_wait_ms,
             next_offset=lambda: self.state.fleet.next_offset,
-            take=self.take_record,
+            take=self.apply_record,
             rebuild=self.async_rebuild,
         )
         self.store = SnapshotStore(client=self.client, stream=settings.platform.stream)
         self.snapshots = self._make_snapshot_writer()
         self.recent = RecentRecords()
         self.started_from_peer = False
-        self.hearers: dict[type[Effect], list[Callable[[Any], None]]] = {}
+        self.subscribers: dict[type[Effect], list[Callable[[Any], None]]] = {}
         self.subscribe(Settled, self.writer.settle)
         self.subscribe(Settled, self.snapshots.hear_settled)
         self.subscribe(Duplicate, self.writer.hear_duplicate)
@@ -95,9 +95,9 @@
             ),
         )
 
-    def subscribe(self, effect_type: type[EffectT], hearer: Callable[[EffectT], None]) -> None:
-        """Call `hearer` with every effect of exactly this type, not of its subclasses."""
-        self.hearers.setdefault(effect_type, []).append(hearer)
+    def subscribe(self, effect_type: type[EffectT], subscriber: Callable[[EffectT], None]) -> None:
+        """Call `subscriber` with every effect of exactly this type, not of its subclasses."""
+        self.subscribers.setdefault(effect_type, []).append(subscriber)
 
     async def async_rebuild(self) -> bool:
         """Load a newer snapshot if the log can't continue the state; False if there is none."""
@@ -119,23 +119,23 @@
         )
         self.take(FleetRestored(now_ms=monotonic_ms()))
 
-    def take_record(self, record: LogRecord) -> None:
+    def apply_record(self, record: LogRecord) -> None:
         """Fold one record that was read from the log."""
         self.recent.add(record)
         self.take(record)
 
-    def take_relayed(self, record: LogRecord) -> None:
+    def apply_relayed_record(self, record: LogRecord) -> None:
         """Fold a record that a peer has read from the log and relayed."""
         self.follower.note_folded(record)
         self.clock.hear_record(record.at_ms)
-        self.take_record(record)
+        self.apply_record(record)
 
     def take(self, event: Event) -> list[Effect]:
         """Reduce one event, pass its effects to their subscribers, and return all effects."""
         effects = reduce(self.state, event)
         for effect in effects:
-            for hearer in self.hearers.get(type(effect), ()):
-                hearer(effect)
+            for subscriber in self.subscribers.get(type(effect), ()):
+                subscriber(effect)
         return effects
 
 
--- a/heatherkeel/entry/process.py
+++ b/heatherkeel/entry/process.py
@@ -44,7 +44,7 @@
         self.links = PeerLinks(
             node=self.node.state,
             take=self.node.take,
-            take_relayed=self.node.take_relayed,
+            take_relayed=self.node.apply_relayed_record,
             heard_at_ms=lambda: self.node.follower.heard_at_ms,
             recent=self.node.recent,
             bind=settings.peers.bind,
@@ -92,7 +92,7 @@
         self.node.timers.start(nursery)
         # A drain waits only for entry instances that the fold knows when it starts. Earlier
         # requests of this process could be cut off by the stop of their target.
-        await self.duties.waited_for.wait()
+        await self.duties.included_in_drains.wait()
         await self.http.start(nursery)
         _LOGGER.info(
             "listening",
--- a/heatherkeel/entry/sender.py
+++ b/heatherkeel/entry/sender.py
@@ -16,13 +16,13 @@
 from heatherkeel.requests.events import AttemptResult
 from heatherkeel.requests.models import RecordedAnswer
 
-from .answers import RawHeaders, async_send_whole, pass_on_headers
+from .answers import RawHeaders, async_send_complete, response_headers_for_caller
 from .connections import TargetConnections
-from .const import MAX_HELD_ANSWER_BYTES, OUTCOME_HEADER
+from .const import MAX_BUFFERED_RESPONSE_BYTES, OUTCOME_HEADER
 
-_SENT_EVENT = "send_request_headers.started"
+_REQUEST_STARTED_EVENT = "send_request_headers.started"
 _NOT_RUN = (OUTCOME_HEADER.encode(), b"not_run")
-_CLOSES = (b"connection", b"close")
+_CONNECTION_CLOSE = (b"connection", b"close")
 _FAILURES = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
@@ -46,7 +46,7 @@
     """Whether bytes of the request may have been sent."""
     status: int = 0
     headers: RawHeaders = field(default_factory=list)
-    held: bytearray = field(default_factory=bytearray)
+    buffered: bytearray = field(default_factory=bytearray)
     """The response body so far, while nothing of it was sent to the caller."""
     streaming: bool = False
     """Whether a part of the response was sent to the caller."""
@@ -58,12 +58,12 @@
 
     async def async_trace(self, event: str, info: dict[str, Any]) -> None:
         """Handle a trace event of httpcore."""
-        if event.endswith(_SENT_EVENT):
+        if event.endswith(_REQUEST_STARTED_EVENT):
             self.sent = True
 
     def recorded(self) -> RecordedAnswer:
         """Return the response as it is stored in the log."""
-        body = base64.b64encode(self.held).decode()
+        body = base64.b64encode(self.buffered).decode()
         content_type = dict(self.headers).get(b"content-type", b"").decode("latin-1")
         return RecordedAnswer(
             http_status=self.status,
@@ -80,19 +80,17 @@
     def __init__(self, *, connections: TargetConnections) -> None:
         self.connections = connections
 
-    async def async_send(
-        self, outgoing: OutgoingRequest, effect: Send, answer: AsgiSend
-    ) -> Attempt:
+    async def async_send(self, outgoing: OutgoingRequest, effect: Send, send: AsgiSend) -> Attempt:
         """Make one attempt; a response too large to buffer is streamed to the caller."""
         attempt = Attempt()
         with trio.move_on_after(effect.timeout_ms / 1000):
-            attempt.result = await self._async_try(attempt, outgoing, effect, answer)
+            attempt.result = await self._async_try(attempt, outgoing, effect, send)
         if attempt.result is AttemptResult.TIMED_OUT:
-            attempt.result = _failure_of(attempt, AttemptResult.TIMED_OUT)
+            attempt.result = _classify_failure(attempt, AttemptResult.TIMED_OUT)
         return attempt
 
     async def _async_try(
-        self, attempt: Attempt, outgoing: OutgoingRequest, effect: Send, answer: AsgiSend
+        self, attempt: Attempt, outgoing: OutgoingRequest, effect: Send, send: AsgiSend
     ) -> AttemptResult:
         connections = self.connections.async_use(
             effect.target, effect.address, fresh=effect.fresh_connection
@@ -108,12 +106,12 @@
                     extensions={"trace": attempt.async_trace},
                 ) as response,
             ):
-                return await _async_read(attempt, response, outgoing, effect, answer)
+                return await _async_read(attempt, response, outgoing, effect, send)
         except _FAILURES:
-            return _failure_of(attempt, AttemptResult.BROKEN_AFTER_SEND)
+            return _classify_failure(attempt, AttemptResult.BROKEN_AFTER_SEND)
 
 
-def _failure_of(attempt: Attempt, result: AttemptResult) -> AttemptResult:
+def _classify_failure(attempt: Attempt, result: AttemptResult) -> AttemptResult:
     """Return the result of a failed attempt, depending on how far it got."""
     if not attempt.sent:
         return AttemptResult.CONNECT_FAILED
@@ -130,7 +128,7 @@
     response: httpcore.Response,
     outgoing: OutgoingRequest,
     effect: Send,
-    answer: AsgiSend,
+    send: AsgiSend,
 ) -> AttemptResult:
     """Read the response to its end; httpcore raises if it ends before its content length.
 
@@ -138,42 +136,42 @@
     is too large to buffer breaks off, the caller's connection is closed.
     """
     attempt.status = response.status
-    told = {(name.lower(), value) for name, value in response.headers}
-    refused = _NOT_RUN in told
-    attempt.leaving = refused and _CLOSES in told
-    attempt.headers = pass_on_headers(effect.target, response.headers)
+    lowercase_headers = {(name.lower(), value) for name, value in response.headers}
+    refused = _NOT_RUN in lowercase_headers
+    attempt.leaving = refused and _CONNECTION_CLOSE in lowercase_headers
+    attempt.headers = response_headers_for_caller(effect.target, response.headers)
     async for part in response.aiter_stream():
         attempt.size += len(part)
         if outgoing.keep_answer:
             attempt.digest.update(part)
-        await _async_take_part(attempt, part, answer)
+        await _async_buffer_or_stream(attempt, part, send)
     if attempt.streaming:
-        await answer({"type": "http.response.body", "body": b""})
+        await send({"type": "http.response.body", "body": b""})
     return AttemptResult.REFUSED_BEFORE_START if refused else AttemptResult.WHOLE_ANSWER
 
 
-async def _async_take_part(attempt: Attempt, part: bytes, answer: AsgiSend) -> None:
+async def _async_buffer_or_stream(attempt: Attempt, part: bytes, send: AsgiSend) -> None:
     """Buffer or stream a part of the response; a slow caller slows the target down."""
-    if not attempt.streaming and len(attempt.held) + len(part) <= MAX_HELD_ANSWER_BYTES:
-        attempt.held += part
+    if not attempt.streaming and len(attempt.buffered) + len(part) <= MAX_BUFFERED_RESPONSE_BYTES:
+        attempt.buffered += part
         return
     if not attempt.streaming:
         attempt.streaming = True
         start = {"type": "http.response.start", "status": attempt.status}
-        await answer({**start, "headers": attempt.headers})
-        part = bytes(attempt.held) + part
-        attempt.held.clear()
-    await answer({"type": "http.response.body", "body": part, "more_body": True})
+        await send({**start, "headers": attempt.headers})
+        part = bytes(attempt.buffered) + part
+        attempt.buffered.clear()
+    await send({"type": "http.response.body", "body": part, "more_body": True})
 
 
-async def async_pass_on(answer: AsgiSend, attempt: Attempt, *, is_head: bool) -> None:
+async def async_send_buffered(send: AsgiSend, attempt: Attempt, *, is_head: bool) -> None:
     """Send a complete, buffered response to the caller."""
     if attempt.streaming:
         return
-    await async_send_whole(
-        answer,
+    await async_send_complete(
+        send,
         status=attempt.status,
         headers=attempt.headers,
-        body=bytes(attempt.held),
+        body=bytes(attempt.buffered),
         is_head=is_head,
     )
--- a/heatherkeel/entry/start.py
+++ b/heatherkeel/entry/start.py
@@ -32,7 +32,7 @@
         nursery.start_soon(self._async_run, nursery)
 
     async def _async_run(self, nursery: trio.Nursery) -> None:
-        while not await self._async_try():
+        while not await self._async_try_load():
             await trio.sleep(self.backoff.next_s())
         self.node.follower.start(nursery)
         if not self.node.started_from_peer:
@@ -51,11 +51,11 @@
             if fleet is not None:
                 self.node.restore(fleet)
 
-    async def _async_try(self) -> bool:
+    async def _async_try_load(self) -> bool:
         """Try to load a state; return whether the log can be followed from it."""
         loaded = await self.node.store.async_load_newest(above=0)
         if isinstance(loaded, Err):
-            return await self._async_without_platform(loaded.err_value)
+            return await self._async_load_from_peer(loaded.err_value)
         if loaded.ok_value is None:
             return await self._async_has_first_record()
         self.node.restore(loaded.ok_value)
@@ -69,14 +69,16 @@
         if isinstance(outcome, Ok):
             return True
         if outcome.err_value.failure is PlatformFailure.OUT_OF_RETENTION:
-            self._tell("no usable snapshot, and the log's first records are out of retention")
+            self._log_cannot_start(
+                "no usable snapshot, and the log's first records are out of retention"
+            )
         return False
 
-    async def _async_without_platform(self, error: PlatformError) -> bool:
+    async def _async_load_from_peer(self, error: PlatformError) -> bool:
         """Load the state of a peer, which sponsors this process until it has joined."""
         fleet = await self.links.async_fetch_state()
         if fleet is None:
-            self._tell(
+            self._log_cannot_start(
                 f"the platform is unresponsive ({error.detail}), and no peer provided a state"
             )
             return False
@@ -84,5 +86,5 @@
         self.node.started_from_peer = True
         return True
 
-    def _tell(self, reason: str) -> None:
+    def _log_cannot_start(self, reason: str) -> None:
         _LOGGER.error("can't start: %s", reason, extra={"event": "cannot_start"})
--- a/heatherkeel/entry/turns.py
+++ b/heatherkeel/entry/turns.py
@@ -19,10 +19,10 @@
         for name, entry in fleet.membership.entries.items()
         if entry.lease_until_ms > now_ms and name != instance
     }
-    return sum(_place(name) < _place(instance) for name in live)
+    return sum(_hash_of(name) < _hash_of(instance) for name in live)
 
 
-def _place(instance: str) -> bytes:
+def _hash_of(instance: str) -> bytes:
     return hashlib.sha256(instance.encode()).digest()
 
 
--- a/tests/entry/test_duties.py
+++ b/tests/entry/test_duties.py
@@ -1,4 +1,4 @@
-"""What the duties of an entry process make of the fold, of the list and of probes."""
+"""Tests of the periodic work of an entry process."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from heatherkeel.core.node import LocalState, NodeState
 from heatherkeel.entry.duties_acknowledge import find_quiet_drains
 from heatherkeel.entry.duties_coordinate import has_returned
-from heatherkeel.entry.duties_health import find_doubtful, find_report
+from heatherkeel.entry.duties_health import find_report, find_suspects
 from heatherkeel.entry.duties_listing import find_reports
 from heatherkeel.fleetlog.models import (
     ListedInstance,
@@ -49,8 +49,7 @@
 
 
 def test_a_drain_is_not_acknowledged_with_a_request_in_progress() -> None:
-    # The request was sent before the drain was folded here. An acknowledgement now would let
-    # the target be stopped under it, and its caller lose the answer.
+    # An early acknowledgement would let the target stop during the request.
     log = small_fleet()
     log.must(log.drain("a0"))
     node = node_of(log)
@@ -69,8 +68,8 @@
 
 
 def test_a_drain_names_whom_it_waits_for_and_what_ends_the_wait() -> None:
-    # Only e-a has acknowledged when b and c fall silent. Operators have to learn that b's lease
-    # ends the wait for b, a far zone, and that an own-zone entry instance holds it for good.
+    # Operators must see whether the end of a lease or the platform's report ends the wait for an
+    # unresponsive entry instance: the lease suffices in another zone, but not in the drain's own.
     log = small_fleet()
     log.must(log.drain("a0"))
     log.must(log.drain("b0"))
@@ -95,8 +94,8 @@
 def test_only_a_boot_after_the_operation_counts_as_a_return(
     state: OperationState, boot_id: str, expected: bool
 ) -> None:
-    # The list lags: it goes on showing the boot that is stopped as live, or an unplanned boot
-    # from before the operation. To serve by either would cut requests when the stop comes.
+    # The list lags and may show an earlier boot as live. Sending requests to it would cut them
+    # off when the instance stops.
     operation = OperationStatus(
         id="d",
         instance="a0",
@@ -120,8 +119,8 @@
 
 
 def test_only_terminated_ends_an_entry_instance() -> None:
-    # An entry instance that is down, or no longer listed, may be cut off and serve its zone.
-    # Its earlier incarnation may as well: the platform's word ends both.
+    # An entry instance that is down or not listed may be partitioned and still serve its zone.
+    # Only `terminated` ends it, with all its incarnations.
     log = small_fleet()
     log.must(join("entry-a", incarnation="2"))
     for state in (ListedState.LIVE, ListedState.LEAVING, ListedState.DOWN):
@@ -146,7 +145,7 @@
     node = node_of(small_fleet())
     view = TargetView(address="127.0.0.1:2", zone="a", pool="desk", failures=100)
     node.local.routing.targets["a0"] = view
-    assert find_doubtful(node) == ["a0"]
+    assert find_suspects(node) == ["a0"]
     instance = node.fleet.pools.instances["a0"]
     report = find_report("a0", instance, line(), answers=False, observer="entry-a")
     assert report == InstanceObserved(instance="a0", health=Health.FAILED, observer="entry-a")
@@ -161,7 +160,7 @@
         )
     )
     instance = log.instance("a0")
-    assert find_doubtful(node_of(log)) == ["a0"]
+    assert find_suspects(node_of(log)) == ["a0"]
     again = find_report("a0", instance, line(boot_id="a0.2"), answers=True, observer="entry-a")
     assert again == Returned(instance="a0", expected_version=instance.version, boot_id="a0.2")
     same = find_report("a0", instance, line(), answers=True, observer="entry-a")
