--- a/tests/entry/test_headers.py
+++ b/tests/entry/test_headers.py
@@ -1,4 +1,4 @@
-"""Which of a caller's headers go on to the target."""
+"""Tests of the headers that are forwarded to targets."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def test_what_concerns_one_connection_stays_on_it() -> None:
-    # A caller lists a header in `connection`: it is meant for this hop only. Passed on, a target
-    # would act on what was never meant for it (RFC 9110, section 7.6.1).
+    # Hop-by-hop headers, including those listed in `connection`, must not be forwarded (RFC 9110,
+    # section 7.6.1).
     given = {"connection": "keep-alive, X-Hop", "x-hop": "1", "te": "trailers", "accept": "*/*"}
     assert outgoing_headers(given) == [(b"accept", b"*/*")]
--- a/tests/entry/test_turns.py
+++ b/tests/entry/test_turns.py
@@ -1,4 +1,4 @@
-"""Shared work is done by the first in line, and by the next when it lies undone."""
+"""Tests of the ranking of entry instances and of the takeover of shared work."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 NAMES = ("entry-a", "entry-b", "entry-c")
 
 
-def fleet(*, lapsed: str = "") -> FleetState:
+def fleet(*, expired: str = "") -> FleetState:
     state = FleetState()
     for name in NAMES:
         state.membership.entries[name] = EntryInstance(
@@ -18,7 +18,7 @@
             zone="a",
             peer_address="127.0.0.1:1",
             lease_ms=10,
-            lease_until_ms=0 if name == lapsed else 100,
+            lease_until_ms=0 if name == expired else 100,
         )
     return state
 
@@ -30,13 +30,13 @@
 
 def test_the_next_moves_up_when_a_lease_runs_out() -> None:
     first, second, third = sorted(NAMES, key=lambda name: rank_of(fleet(), name, now_ms=50))
-    assert rank_of(fleet(lapsed=first), second, now_ms=50) == 0
-    assert rank_of(fleet(lapsed=first), third, now_ms=50) == 1
+    assert rank_of(fleet(expired=first), second, now_ms=50) == 0
+    assert rank_of(fleet(expired=first), third, now_ms=50) == 1
 
 
 def test_work_that_lies_undone_is_taken_over() -> None:
-    # The first in line holds its lease but does nothing, cut off from one service of the
-    # platform perhaps. Without the takeover the drain would stand still for good.
+    # The instance of rank 0 may hold its lease without making progress. Without the takeover the
+    # drain would stall.
     turns = Turns(takeover_ms=1000, retry_ms=500)
     assert turns.choose(["stop"], rank=1, now_ms=0) == []
     assert turns.choose(["stop"], rank=1, now_ms=999) == []
