--- a/tests/entry/test_duties.py
+++ b/tests/entry/test_duties.py
@@ -67,7 +67,7 @@
     assert find_quiet_drains(node_of(log), 0) == []
 
 
-def test_a_drain_names_whom_it_waits_for_and_what_ends_the_wait() -> None:
+def test_a_drain_lists_entry_instances_it_waits_for_and_what_ends_the_wait() -> None:
     # Operators must see whether the end of a lease or the platform's report ends the wait for an
     # unresponsive entry instance: the lease suffices in another zone, but not in the drain's own.
     log = small_fleet()
@@ -108,7 +108,7 @@
     assert not has_returned(operation, line(boot_id=boot_id, state=ListedState.DOWN))
 
 
-def test_down_is_reported_only_of_the_boot_that_serves() -> None:
+def test_down_is_reported_only_for_the_current_boot() -> None:
     log = small_fleet()
     earlier = line(state=ListedState.DOWN, boot_id="a0.0")
     current = line(state=ListedState.DOWN)
@@ -141,7 +141,7 @@
     assert body == InstanceGone(instance="a0", boot_id="a0.1")
 
 
-def test_a_target_that_fails_requests_is_in_doubt() -> None:
+def test_a_target_that_fails_requests_is_a_suspect() -> None:
     node = node_of(small_fleet())
     view = TargetView(address="127.0.0.1:2", zone="a", pool="desk", failures=100)
     node.local.routing.targets["a0"] = view
@@ -152,7 +152,7 @@
     assert find_report("a0", instance, line(), answers=True, observer="entry-a") is None
 
 
-def test_a_failed_target_comes_back_with_a_new_boot_or_a_healthy_one() -> None:
+def test_a_failed_target_returns_with_a_new_boot_or_recovers() -> None:
     log = small_fleet()
     log.must(
         InstanceObserved(
--- a/tests/entry/test_turns.py
+++ b/tests/entry/test_turns.py
@@ -28,13 +28,13 @@
     assert sorted(ranks) == [0, 1, 2]
 
 
-def test_the_next_moves_up_when_a_lease_runs_out() -> None:
+def test_the_next_rank_moves_up_when_a_lease_expires() -> None:
     first, second, third = sorted(NAMES, key=lambda name: rank_of(fleet(), name, now_ms=50))
     assert rank_of(fleet(expired=first), second, now_ms=50) == 0
     assert rank_of(fleet(expired=first), third, now_ms=50) == 1
 
 
-def test_work_that_lies_undone_is_taken_over() -> None:
+def test_stalled_work_is_taken_over() -> None:
     # The instance of rank 0 may hold its lease without making progress. Without the takeover the
     # drain would stall.
     turns = Turns(takeover_ms=1000, retry_ms=500)
@@ -43,14 +43,14 @@
     assert turns.choose(["stop"], rank=1, now_ms=1000) == ["stop"]
 
 
-def test_work_is_not_repeated_before_its_pause() -> None:
+def test_work_is_not_repeated_before_its_retry_time() -> None:
     turns = Turns(takeover_ms=1000, retry_ms=500)
     assert turns.choose(["stop"], rank=0, now_ms=0) == ["stop"]
     assert turns.choose(["stop"], rank=0, now_ms=499) == []
     assert turns.choose(["stop"], rank=0, now_ms=500) == ["stop"]
 
 
-def test_work_that_was_done_and_comes_again_waits_its_turn_anew() -> None:
+def test_recurring_work_waits_for_the_takeover_time_again() -> None:
     turns = Turns(takeover_ms=1000, retry_ms=500)
     turns.choose(["stop"], rank=1, now_ms=0)
     turns.choose([], rank=1, now_ms=900)
