--- a/heatherkeel/entry/duties_acknowledge.py
+++ b/heatherkeel/entry/duties_acknowledge.py
@@ -25,7 +25,7 @@
 
     async def async_acknowledge(self) -> None:
         """Acknowledge all drains that this process no longer uses, in one record."""
-        drains = find_quiet_drains(self.node.state, monotonic_ms())
+        drains = find_quiesced_drains(self.node.state, monotonic_ms())
         if not drains:
             return
         body = DrainAck(
@@ -40,7 +40,7 @@
             )
 
 
-def find_quiet_drains(node: NodeState, now_ms: int) -> list[AckedDrain]:
+def find_quiesced_drains(node: NodeState, now_ms: int) -> list[AckedDrain]:
     """Return the drains that wait for this process although it has nothing in progress.
 
     A premature acknowledgement would let a target stop during a request. A count of 0 is final:
--- a/tests/entry/test_duties.py
+++ b/tests/entry/test_duties.py
@@ -5,7 +5,7 @@
 import pytest
 
 from heatherkeel.core.node import LocalState, NodeState
-from heatherkeel.entry.duties_acknowledge import find_quiet_drains
+from heatherkeel.entry.duties_acknowledge import find_quiesced_drains
 from heatherkeel.entry.duties_coordinate import has_returned
 from heatherkeel.entry.duties_health import find_report, find_suspects
 from heatherkeel.entry.duties_listing import find_reports
@@ -55,16 +55,16 @@
     node = node_of(log)
     view = TargetView(address="127.0.0.1:2", zone="a", pool="desk", in_progress=1)
     node.local.routing.targets["a0"] = view
-    assert find_quiet_drains(node, 0) == []
+    assert find_quiesced_drains(node, 0) == []
     view.in_progress = 0
-    assert [item.instance for item in find_quiet_drains(node, 0)] == ["a0"]
+    assert [item.instance for item in find_quiesced_drains(node, 0)] == ["a0"]
 
 
 def test_an_acknowledgement_is_not_repeated() -> None:
     log = small_fleet()
     log.must(log.drain("a0"))
     log.must(log.ack("entry-a", "a0"))
-    assert find_quiet_drains(node_of(log), 0) == []
+    assert find_quiesced_drains(node_of(log), 0) == []
 
 
 def test_a_drain_lists_entry_instances_it_waits_for_and_what_ends_the_wait() -> None:
--- a/tests/membership/test_sponsor.py
+++ b/tests/membership/test_sponsor.py
@@ -4,7 +4,7 @@
 
 from heatherkeel.catalogue.models import Budget, RequestLimits, ServiceEntry, StoredEntry
 from heatherkeel.core.node import LocalState, NodeState, reduce
-from heatherkeel.entry.duties_acknowledge import find_quiet_drains
+from heatherkeel.entry.duties_acknowledge import find_quiesced_drains
 from heatherkeel.membership.const import SPONSOR_LEASE_MS
 from heatherkeel.membership.events import (
     LeaseGranted,
@@ -67,7 +67,7 @@
 
 
 def acknowledges(sponsor: NodeState, now_ms: int) -> bool:
-    return bool(find_quiet_drains(sponsor, now_ms))
+    return bool(find_quiesced_drains(sponsor, now_ms))
 
 
 def test_a_drain_waits_for_the_requests_of_a_newcomer() -> None:
