--- a/heatherkeel/entry/duties_coordinate.py
+++ b/heatherkeel/entry/duties_coordinate.py
@@ -33,7 +33,7 @@
 from .duties_listing import InstanceListing
 from .node import Node
 from .probes import async_probe
-from .turns import Turns, rank_of
+from .takeover import TakeoverSchedule, rank_of
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -46,8 +46,8 @@
     def __init__(self, *, node: Node, listing: InstanceListing) -> None:
         self.node = node
         self.listing = listing
-        self.step_turns = Turns(takeover_ms=TAKEOVER_MS, retry_ms=RETRY_MS)
-        self.restart_turns = Turns(takeover_ms=TAKEOVER_MS, retry_ms=RETURN_POLL_MS)
+        self.step_schedule = TakeoverSchedule(takeover_ms=TAKEOVER_MS, retry_ms=RETRY_MS)
+        self.restart_schedule = TakeoverSchedule(takeover_ms=TAKEOVER_MS, retry_ms=RETURN_POLL_MS)
         self.planned: list[DrainStart] = []
         self.planned_at_ms = 0
 
@@ -66,8 +66,8 @@
         now_ms = monotonic_ms()
         steps = {_key(step): step for step in self._find_steps(fleet, rank)}
         stopped = {drain_id: name for name, drain_id in _stopped(fleet)}
-        due_steps = self.step_turns.choose(steps, rank=rank, now_ms=now_ms)
-        due_restarts = self.restart_turns.choose(stopped, rank=rank, now_ms=now_ms)
+        due_steps = self.step_schedule.choose(steps, rank=rank, now_ms=now_ms)
+        due_restarts = self.restart_schedule.choose(stopped, rank=rank, now_ms=now_ms)
         return [
             *(partial(self._async_propose, steps[key]) for key in due_steps),
             *(partial(self._async_restart, stopped[key], key) for key in due_restarts),
--- a/heatherkeel/entry/duties_health.py
+++ b/heatherkeel/entry/duties_health.py
@@ -18,7 +18,7 @@
 from .duties_listing import InstanceListing
 from .node import Node
 from .probes import async_probe
-from .turns import Turns
+from .takeover import TakeoverSchedule
 
 
 class HealthObserver:
@@ -27,7 +27,7 @@
     def __init__(self, *, node: Node, listing: InstanceListing) -> None:
         self.node = node
         self.listing = listing
-        self.turns = Turns(takeover_ms=0, retry_ms=OBSERVE_AGAIN_MS)
+        self.schedule = TakeoverSchedule(takeover_ms=0, retry_ms=OBSERVE_AGAIN_MS)
 
     async def async_observe(self) -> None:
         """Probe all suspect instances concurrently."""
@@ -37,7 +37,7 @@
             for name in find_suspects(self.node.state)
         }
         # The fold needs reports of several observers, so each process acts as rank 0.
-        due = self.turns.choose(suspects, rank=0, now_ms=monotonic_ms())
+        due = self.schedule.choose(suspects, rank=0, now_ms=monotonic_ms())
         async with trio.open_nursery() as nursery:
             for key in due:
                 nursery.start_soon(partial(self._async_probe, suspects[key]))
--- a/heatherkeel/entry/duties_listing.py
+++ b/heatherkeel/entry/duties_listing.py
@@ -26,7 +26,7 @@
 
 from .const import RETRY_MS, TAKEOVER_MS, WORKER_ROLE, WRITE_TIMEOUT_S
 from .node import Node
-from .turns import Turns, rank_of
+from .takeover import TakeoverSchedule, rank_of
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -37,7 +37,7 @@
     def __init__(self, *, node: Node) -> None:
         self.node = node
         self.by_id: dict[str, ListedInstance] = {}
-        self.turns = Turns(takeover_ms=TAKEOVER_MS, retry_ms=RETRY_MS)
+        self.schedule = TakeoverSchedule(takeover_ms=TAKEOVER_MS, retry_ms=RETRY_MS)
 
     async def async_read(self) -> None:
         """Read the list, update the router, and report what the log doesn't have yet."""
@@ -70,7 +70,7 @@
         own_id = self.node.settings.instance.id
         reports = dict(find_reports(fleet, self.by_id, observer=own_id))
         rank = rank_of(fleet, own_id, now_ms=self.node.clock.now_ms())
-        due = self.turns.choose(reports, rank=rank, now_ms=monotonic_ms())
+        due = self.schedule.choose(reports, rank=rank, now_ms=monotonic_ms())
         async with trio.open_nursery() as nursery:
             for key in due:
                 nursery.start_soon(self._async_write, reports[key])
--- a/heatherkeel/entry/turns.py
+++ b/heatherkeel/entry/takeover.py
@@ -26,7 +26,7 @@
     return hashlib.sha256(instance.encode()).digest()
 
 
-class Turns:
+class TakeoverSchedule:
     """Schedules work by rank: each next rank takes over after another `takeover_ms`.
 
     This only avoids duplicate work. Two processes may still do the same work; the fold accepts
--- a/tests/entry/test_turns.py
+++ b/tests/entry/test_takeover.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from heatherkeel.core.state import FleetState
-from heatherkeel.entry.turns import Turns, rank_of
+from heatherkeel.entry.takeover import TakeoverSchedule, rank_of
 from heatherkeel.membership.models import EntryInstance
 
 NAMES = ("entry-a", "entry-b", "entry-c")
@@ -37,21 +37,21 @@
 def test_stalled_work_is_taken_over() -> None:
     # The instance of rank 0 may hold its lease without making progress. Without the takeover the
     # drain would stall.
-    turns = Turns(takeover_ms=1000, retry_ms=500)
-    assert turns.choose(["stop"], rank=1, now_ms=0) == []
-    assert turns.choose(["stop"], rank=1, now_ms=999) == []
-    assert turns.choose(["stop"], rank=1, now_ms=1000) == ["stop"]
+    schedule = TakeoverSchedule(takeover_ms=1000, retry_ms=500)
+    assert schedule.choose(["stop"], rank=1, now_ms=0) == []
+    assert schedule.choose(["stop"], rank=1, now_ms=999) == []
+    assert schedule.choose(["stop"], rank=1, now_ms=1000) == ["stop"]
 
 
 def test_work_is_not_repeated_before_its_retry_time() -> None:
-    turns = Turns(takeover_ms=1000, retry_ms=500)
-    assert turns.choose(["stop"], rank=0, now_ms=0) == ["stop"]
-    assert turns.choose(["stop"], rank=0, now_ms=499) == []
-    assert turns.choose(["stop"], rank=0, now_ms=500) == ["stop"]
+    schedule = TakeoverSchedule(takeover_ms=1000, retry_ms=500)
+    assert schedule.choose(["stop"], rank=0, now_ms=0) == ["stop"]
+    assert schedule.choose(["stop"], rank=0, now_ms=499) == []
+    assert schedule.choose(["stop"], rank=0, now_ms=500) == ["stop"]
 
 
 def test_recurring_work_waits_for_the_takeover_time_again() -> None:
-    turns = Turns(takeover_ms=1000, retry_ms=500)
-    turns.choose(["stop"], rank=1, now_ms=0)
-    turns.choose([], rank=1, now_ms=900)
-    assert turns.choose(["stop"], rank=1, now_ms=1000) == []
+    schedule = TakeoverSchedule(takeover_ms=1000, retry_ms=500)
+    schedule.choose(["stop"], rank=1, now_ms=0)
+    schedule.choose([], rank=1, now_ms=900)
+    assert schedule.choose(["stop"], rank=1, now_ms=1000) == []
