--- a/heatherkeel/entry/front.py
+++ b/heatherkeel/entry/front.py
@@ -66,7 +66,7 @@
     watch_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
 
-class Front:
+class ProxyApp:
     """The ASGI application for callers' requests to targets."""
 
     def __init__(self, *, node: Node) -> None:
--- a/heatherkeel/entry/process.py
+++ b/heatherkeel/entry/process.py
@@ -25,7 +25,7 @@
 
 from .const import CLOSE_INTERVAL_MS, WATCH_INTERVAL_MS, WRITE_TIMEOUT_S
 from .duties import Duties
-from .front import Front
+from .front import ProxyApp
 from .node import Node
 from .start import NodeStart
 from .stopping import async_stop_callers
@@ -50,27 +50,27 @@
             bind=settings.peers.bind,
             seeds=settings.peers.seeds,
         )
-        self.front = Front(node=self.node)
+        self.proxy = ProxyApp(node=self.node)
         self.duties = Duties(node=self.node)
-        timed = TimedApp(inner=self.front, metrics=self.metrics)
+        timed_app = TimedApp(inner=self.proxy, metrics=self.metrics)
         self.http = HttpServer(
-            app=timed,
+            app=timed_app,
             bind=settings.http.bind,
             on_headers_too_large=self.metrics.count_headers_too_large,
         )
-        pages = MonitoringApp(
+        admin_app = MonitoringApp(
             inner=AdminApp(node=self.node, on_refusal=self.metrics.count_admin_refusal),
             metrics=self.metrics,
             readiness=self.readiness,
         )
         self.admin = HttpServer(
-            app=pages,
+            app=admin_app,
             bind=settings.admin.bind,
             certfile=settings.admin.certfile,
             keyfile=settings.admin.keyfile,
         )
         self.gauges = NodeGauges(
-            node=self.node, readiness=self.readiness, in_progress=lambda: timed.in_progress
+            node=self.node, readiness=self.readiness, in_progress=lambda: timed_app.in_progress
         )
 
     async def start(self, nursery: trio.Nursery) -> None:
@@ -78,7 +78,7 @@
         count_effects(self.node, self.metrics)
         self.metrics.register([self.gauges])
         self.node.writer.start(nursery)
-        self.front.start(nursery)
+        self.proxy.start(nursery)
         self.node.snapshots.start(nursery)
         self.links.start(nursery)
         await self.admin.start(nursery)
@@ -111,12 +111,12 @@
         self.node.timers.subscribe(
             name="callers",
             interval_ms=WATCH_INTERVAL_MS,
-            callback=self.front.async_watch_callers,
+            callback=self.proxy.async_watch_callers,
         )
         self.node.timers.subscribe(
             name="connections",
             interval_ms=CLOSE_INTERVAL_MS,
-            callback=self.front.connections.async_close_retired,
+            callback=self.proxy.connections.async_close_retired,
         )
         self.node.timers.subscribe(
             name="snapshots",
@@ -138,13 +138,13 @@
         await async_stop_callers(
             http=self.http, readiness=self.readiness, fleet=self.node.state.fleet
         )
-        await self.front.claims.async_finish(timeout_s=WRITE_TIMEOUT_S)
+        await self.proxy.claims.async_finish(timeout_s=WRITE_TIMEOUT_S)
         await self.duties.async_leave()
         await self.admin.close()
 
     async def async_close_connections(self) -> None:
         """Close the connections to targets and to the platform."""
-        await self.front.close()
+        await self.proxy.close()
         await self.node.client.close()
 
 
