--- a/heatherkeel/gateway/__init__.py
+++ b/heatherkeel/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Where callers hand jobs in, ask for them and cancel them."""
+"""The HTTP API through which callers submit, query and cancel jobs."""
--- a/heatherkeel/gateway/app.py
+++ b/heatherkeel/gateway/app.py
@@ -1,4 +1,4 @@
-"""The application that callers talk to."""
+"""The ASGI application of the job API."""
 
 from __future__ import annotations
 
@@ -22,11 +22,10 @@
 
 
 class CallersApp:
-    """Takes jobs in, cancels them, and tells how they are.
+    """Accepts and cancels jobs, and returns their states.
 
-    While this process shouldn't get callers, since it is cut off from the store or is stopping, it
-    closes each connection with its answer. The balancer sends new connections elsewhere by then,
-    but an open one stays: its caller would meet the same refusals for as long as the cut lasts.
+    A process that is not ready closes each connection after its response. The load balancer sends
+    new connections elsewhere, but open ones would otherwise keep their callers at this process.
     """
 
     def __init__(self, *, parts: GatewayParts) -> None:
--- a/heatherkeel/gateway/exchange.py
+++ b/heatherkeel/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller: what it asks for, and its answer."""
+"""Handles one request of a caller."""
 
 from __future__ import annotations
 
@@ -72,18 +72,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GatewayParts:
-    """What requests are answered from."""
+    """Services that the handling of a request uses."""
 
     store: StoreClient
     directory: DirectoryState
     lookup: Lookup
     metrics: GatewayMetrics
     takes_callers: Callable[[], bool]
-    """Whether this process should get callers now."""
+    """Returns whether this process is ready for callers."""
 
 
 class Exchange:
-    """One request of a caller, and its answer."""
+    """One request of a caller and its response."""
 
     def __init__(self, *, parts: GatewayParts, request: Request, send: Send) -> None:
         self.parts = parts
@@ -94,7 +94,7 @@
         self.deadline_ms = monotonic_ms() + wait_ms - ANSWER_MARGIN_MS
 
     async def async_serve(self) -> None:
-        """Answer the request."""
+        """Handle the request and send the response."""
         config = self.parts.directory.config
         if config is None:
             return await self._async_refuse(Refusal.NO_CONFIGURATION, retry_s=RETRY_BUSY_S)
@@ -112,8 +112,8 @@
         if action is None:
             return await self._async_refuse(Refusal.WRONG_METHOD)
         if not self.parts.directory.layout.partitions_of(queue.service):
-            # A new service, or a process that has just started: no job of it is stored anywhere
-            # before every process would send it to the same owner.
+            # The service or this process is new. Without a layout, processes could store a job in
+            # different partitions.
             return await self._async_refuse(Refusal.NO_LAYOUT, retry_s=RETRY_BUSY_S)
         if not job_id and self.request.method == "GET":
             return await self._async_tell_length(queue)
@@ -123,7 +123,7 @@
 
     def _partition(self, queue: Queue, job_id: str) -> int:
         partition = self.parts.directory.layout.partition_of_job(queue.service, job_id)
-        assert partition is not None, "a service that is laid out stays so"
+        assert partition is not None, "a service in the layout is never removed"
         return partition
 
     async def _async_submit(self, queue: Queue, job_id: str) -> None:
@@ -145,7 +145,7 @@
         )
         record = KeyedRecord(key=f"{REQUEST_PREFIX}{job_id}", value=encode_request(stored))
         partition = self._partition(queue, job_id)
-        # Where answers of the store are lost, or late, another append would only add to its load.
+        # After a lost or late response of the store, another append would add to its load.
         refusal = await self._async_store(
             partition,
             record,
@@ -175,11 +175,11 @@
         *,
         is_stored: Callable[[], Awaitable[bool]] | None = None,
     ) -> Refusal | None:
-        """Store a record, and answer the caller if that can't be done in time.
+        """Store a record; if that fails, send the refusal to the caller and return it.
 
-        `is_stored` finds out whether an append that wasn't answered has been done all the same.
-        "Not accepted" is said only if no append was left without an answer: such an append may
-        be carried out seconds later.
+        `is_stored` checks whether an append without a response has taken effect. The record is
+        reported as not accepted only if every append was refused, since an append without a
+        response may still take effect.
         """
         is_unknown = False
         if self.parts.store.find_health(JOBS_TOPIC, partition).is_away():
@@ -218,7 +218,7 @@
         return await self._async_tell_state(found)
 
     async def _async_find(self, queue: Queue, job_id: str) -> JobState | Refusal:
-        """Return a job's state, or why it can't be told."""
+        """Return a job's state, or the reason why it is not available."""
         found: JobState | Err[str] | None = Err("no answer in time")
         left_s = max(0.0, (self.deadline_ms - monotonic_ms()) / 1000)
         if not self.parts.takes_callers():
--- a/heatherkeel/gateway/lookup.py
+++ b/heatherkeel/gateway/lookup.py
@@ -1,4 +1,4 @@
-"""Finds a job's state: from its partition's owner, or from the store if that is silent."""
+"""Finds job states through the partition's owner, or in the store if it is unresponsive."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class StoredReading:
-    """A partition's records as read at a time."""
+    """A partition's records and the time at which they were read."""
 
     read_ms: int
     jobs: StoredJobs
@@ -38,7 +38,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class Lookup:
-    """Asks owners, and the store in their place; remembers what this front has accepted."""
+    """Queries owners, or else the store; remembers the jobs that this process has accepted."""
 
     store: StoreClient
     holders: HolderCache
@@ -47,14 +47,14 @@
     readings: dict[int, StoredReading] = field(default_factory=dict)
 
     def remember(self, job_id: str) -> None:
-        """Remember a job that was just accepted here."""
+        """Remember a job that this process has just accepted."""
         now_ms = monotonic_ms()
         self.recent[job_id] = now_ms
         while (oldest := next(iter(self.recent))) and now_ms - self.recent[oldest] > RECENT_MS:
             del self.recent[oldest]
 
     async def async_find_state(self, partition: int, job_id: str) -> JobState | Err[str] | None:
-        """Return a job's state, None if there is no such job, `Err` if nobody could tell."""
+        """Return a job's state, None if there is no such job, or `Err` if it is not available."""
         told = await self._async_ask(partition, JobQuestion(partition=partition, job_id=job_id))
         if isinstance(told, JobAnswer):
             state = JobState(told.state) if told.state else None
@@ -63,16 +63,16 @@
             if isinstance(found, Err):
                 return JobState.PENDING if job_id in self.recent else found
             state = found
-        # The owner reads a job from the store some milliseconds after it was accepted.
+        # The owner reads a job from the store shortly after it was accepted.
         return JobState.PENDING if state is None and job_id in self.recent else state
 
     async def async_is_taken(self, partition: int, job_id: str) -> bool:
-        """Say whether a partition's owner has read a job from the store, so that it is accepted."""
+        """Return whether the partition's owner has read a job from the store."""
         told = await self._async_ask(partition, JobQuestion(partition=partition, job_id=job_id))
         return isinstance(told, JobAnswer) and bool(told.state)
 
     async def async_count_pending(self, partitions: Sequence[int], queue: str) -> int | None:
-        """Return how many jobs of a queue wait in all its partitions; None if one can't be told."""
+        """Return a queue's pending jobs over all partitions; None if any count is not available."""
         counts: list[int | None] = []
 
         async def async_count(partition: int) -> None:
@@ -99,7 +99,7 @@
         )
 
     async def _async_ask(self, partition: int, question: Question) -> Answer | None:
-        """Ask the owner; one that fails, or that isn't the owner any more, is looked up anew."""
+        """Query the owner; look it up again if it fails or no longer owns the partition."""
         failed = ""
         for _ in range(2):
             address = await self.holders.async_find(partition, failed_address=failed)
@@ -127,7 +127,7 @@
         if known is not None and now_ms - known.read_ms < STORED_MAX_AGE_MS:
             return known.jobs
         records = []
-        # Requests first: a job that ends in between is then found by its progress.
+        # Requests must be read first: a job that ends in between then still has its progress.
         for topic in (JOBS_TOPIC, WORK_TOPIC):
             read = await self.store.async_read_all_newest(topic, partition)
             if isinstance(read, Err):
--- a/heatherkeel/gateway/metrics.py
+++ b/heatherkeel/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of the callers' side."""
+"""Metrics of the job API."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class GatewayMetrics:
-    """What is counted as it happens; every reason shows from the start as 0."""
+    """Counters and histograms of requests; every refusal reason is exported from the start."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -31,13 +31,13 @@
         )
 
     def count_refusal(self, reason: Refusal) -> None:
-        """Count a request that was not carried out."""
+        """Count a refused request."""
         self.refusals.labels(reason.value).inc()
 
     def observe(self, *, method: str, seconds: float) -> None:
-        """Take in how long a request took."""
+        """Record the duration of a request."""
         self.durations.labels(method).observe(seconds)
 
     def render(self) -> bytes:
-        """Return the text that a scrape gets."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/heatherkeel/gateway/reasons.py
+++ b/heatherkeel/gateway/reasons.py
@@ -1,4 +1,4 @@
-"""Why a caller's request was not carried out."""
+"""Reasons for which a request of a caller is refused."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class Refusal(StrEnum):
-    """Reasons, as they stand in answers, logs and counters."""
+    """Reasons, as used in responses, logs and metrics."""
 
     NO_CONFIGURATION = "no_configuration"
     NO_LAYOUT = "no_layout"
-    """It isn't known yet which partitions run the queue's jobs."""
+    """The partitions of the queue's service are not known yet."""
     NO_SUCH_QUEUE = "no_such_queue"
     NO_SUCH_JOB = "no_such_job"
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
     WRONG_METHOD = "wrong_method"
     STORE_AWAY = "store_away"
-    """Nothing was sent to the store, which has been failing: the job never runs."""
+    """The store is unavailable and nothing was sent to it: the job never runs."""
     STORE_REFUSED = "store_refused"
-    """The store did nothing: the job was not accepted and never runs."""
+    """The store refused the record: the job never runs."""
     STORE_SILENT = "store_silent"
-    """The store may have taken the job: the answer says neither yes nor no."""
+    """The store is unresponsive: whether the job was accepted is unknown."""
     OWNER_SILENT = "owner_silent"
-    """Neither the owner nor the store told the job's state in time."""
+    """Neither the owner nor the store returned the job's state in time."""
--- a/heatherkeel/gateway/routing.py
+++ b/heatherkeel/gateway/routing.py
@@ -1,4 +1,4 @@
-"""Which queue a caller's request is for."""
+"""Finds the queue of a request."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def find_queue(config: Configuration, *, host: str, path: str) -> Queue | None:
-    """Return the queue of the host whose prefix is the longest that the path begins with."""
+    """Return the host's queue with the longest prefix of the path."""
     name = host.rsplit(":", 1)[0] if ":" in host else host
     fitting = [
         queue
--- a/tests/gateway/calling.py
+++ b/tests/gateway/calling.py
@@ -1,4 +1,4 @@
-"""Calls of one caller to the application, without a server between them."""
+"""Helpers that call the ASGI application directly, without a server."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def make_app(store: StoreClient, links: QuestionLinks, *, takes_callers: bool = True) -> CallersApp:
-    """Return the application of a process that knows one queue, with one partition."""
+    """Return an application with one queue in one partition."""
     parts = GatewayParts(
         store=store,
         directory=DirectoryState(
@@ -37,7 +37,7 @@
 async def async_call(
     app: CallersApp, method: str, *, deadline_ms: int, body: bytes = b""
 ) -> dict[str, Any]:
-    """Make a call about one job; returns the head of the answer."""
+    """Send a request for one job; returns the start message of the response."""
     deadline = str(deadline_ms).encode()
     scope = {
         "type": "http",
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -1,4 +1,4 @@
-"""Callers whose process can't serve them come back through the balancer."""
+"""Tests of the connections of callers to a process that is not ready."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class SilentLinks(FakeLinks):
-    """Owners that don't answer: each question takes its whole time."""
+    """Unresponsive owners: each question takes its whole timeout."""
 
     async def async_ask(
         self, address: str, question: Question, *, timeout_s: float = 0.5
     ) -> Answer | None:
-        """Wait in vain."""
+        """Wait for the timeout."""
         await trio.sleep(timeout_s)
         return None
 
@@ -34,20 +34,20 @@
     async def async_ask(
         self, address: str, question: Question, *, timeout_s: float = 0.5
     ) -> Answer | None:
-        """Tell that the job runs."""
+        """Return that the job is active."""
         return JobAnswer(state="active")
 
 
 class SilentStore(FakeStore):
-    """A store that doesn't answer."""
+    """An unresponsive store."""
 
     async def async_read_all_newest(self, topic: str, partition: int) -> Any:
-        """Wait for longer than any caller does."""
+        """Wait for longer than any deadline."""
         await trio.sleep(60)
 
 
 def ask(links: FakeLinks, *, takes_callers: bool) -> tuple[int, bool, float]:
-    """Ask for a job; returns the status, whether the connection is closed, and the seconds."""
+    """Query a job; returns the status, whether the connection is closed, and the seconds."""
     app = make_app(SilentStore(down=set()), links, takes_callers=takes_callers)
 
     async def async_ask() -> tuple[int, bool, float]:
@@ -60,10 +60,8 @@
 
 
 def test_process_that_is_cut_off_answers_soon_and_closes_the_connection() -> None:
-    """A zone is cut off; a caller has a connection to a process there, and asks for its job.
-
-    Neither the job's owner nor the store answers. Held until its deadline on the same connection,
-    the caller would meet the same again and again, while any process elsewhere could tell.
+    """A caller must not be kept at a partitioned process until its deadline, since other
+    processes could return the job's state.
     """
     status, is_closed, took_s = ask(SilentLinks({}), takes_callers=False)
     assert (status, is_closed) == (504, True)
@@ -71,7 +69,7 @@
 
 
 def test_process_that_takes_callers_asks_for_as_long_as_they_wait() -> None:
-    """One answer of the store takes long; there is no reason to think that others fare better."""
+    """A ready process must not give up before the deadline because of one slow response."""
     status, is_closed, took_s = ask(SilentLinks({}), takes_callers=True)
     assert (status, is_closed) == (504, False)
     assert took_s == pytest.approx(DEADLINE_MS / 1000, abs=0.3)
--- a/tests/gateway/test_lookup.py
+++ b/tests/gateway/test_lookup.py
@@ -1,4 +1,4 @@
-"""A queue's length is the sum over the partitions of its service, or isn't told at all."""
+"""Tests of queue lengths over several partitions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FakeStore(StoreClient):
-    """A store in which nothing stands, and of which a partition may be down."""
+    """An empty store with some partitions down."""
 
     def __init__(self, *, down: set[int]) -> None:
         self.down = down
@@ -30,7 +30,7 @@
 
 
 class FakeHolderCache(HolderCache):
-    """Every partition has an owner, at an address with its number."""
+    """An owner per partition, whose address contains the partition's number."""
 
     async def async_find(self, partition: int, *, failed_address: str = "") -> str:
         """Return the owner's address."""
@@ -38,7 +38,7 @@
 
 
 class FakeLinks(QuestionLinks):
-    """Owners that know so many waiting jobs; one that isn't named doesn't own its partition."""
+    """Owners with a count of pending jobs; partitions without a count have no owner."""
 
     def __init__(self, pending: dict[int, int]) -> None:
         self.pending = pending
@@ -46,13 +46,13 @@
     async def async_ask(
         self, address: str, question: Question, *, timeout_s: float = 0.5
     ) -> Answer | None:
-        """Answer for the owner at an address."""
+        """Return the answer of a partition's owner."""
         pending = self.pending.get(question.partition)
         return NotOwner() if pending is None else QueueAnswer(pending=pending)
 
 
 def count(pending: dict[int, int], *, down: set[int] | None = None) -> int | None:
-    """Ask for the length of a queue with three partitions."""
+    """Return the length of a queue with three partitions."""
     store = FakeStore(down=down or set())
     lookup = Lookup(store=store, holders=FakeHolderCache(store=store), links=FakeLinks(pending))
     return trio.run(lookup.async_count_pending, (0, 1, 2), "quotes")
@@ -63,13 +63,10 @@
 
 
 def test_store_tells_for_an_owner_that_is_gone() -> None:
-    """A partition changes hands; the records of its jobs tell how many wait."""
+    """While a partition has no owner, its jobs are counted in the store."""
     assert count({0: 3, 2: 4}) == 7
 
 
 def test_part_of_a_length_is_never_told_as_the_whole() -> None:
-    """One owner is gone, and its part of the store is down with it.
-
-    The sum of the others would be far too low: whoever scales by it would send machines away.
-    """
+    """A partial sum would be too low, and an autoscaler would remove machines."""
     assert count({0: 3, 2: 4}, down={1}) is None
--- a/tests/gateway/test_submissions.py
+++ b/tests/gateway/test_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions whose append gets no answer."""
+"""Tests of submissions whose append gets no response."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 
 
 class LossyStore(FakeStore):
-    """A store whose answers to appends are lost; it does them, or it doesn't."""
+    """A store whose responses to appends are lost."""
 
     def __init__(self) -> None:
         self.down = set()
         self.appends = 0
 
     def find_health(self, topic: str, partition: int) -> PartitionHealth:
-        """Say that writes have gone well."""
+        """Return a healthy partition."""
         return PartitionHealth()
 
     async def async_append(self, *_: Any, **__: Any) -> Result[None, CallError]:
-        """Take a record, and lose the answer."""
+        """Count the append, and fail without a result."""
         self.appends += 1
         await trio.sleep(APPEND_S)
         return Err(CallError(failure=Failure.UNKNOWN, detail="no answer in time"))
 
 
 class ReadingLinks(FakeLinks):
-    """An owner that has read the job from the store, if it is there."""
+    """An owner that has read the job from the store, or hasn't."""
 
     def __init__(self, *, knows: bool) -> None:
         self.knows = knows
@@ -48,12 +48,12 @@
     async def async_ask(
         self, address: str, question: Question, *, timeout_s: float = 0.5
     ) -> Answer | None:
-        """Tell whether the job was read."""
+        """Return the job's state, or none."""
         return JobAnswer(state="pending" if self.knows else "")
 
 
 def submit(*, knows: bool) -> tuple[int, int]:
-    """Hand a job in; returns the status, and how often it was appended."""
+    """Submit a job; returns the status and the number of appends."""
     store = LossyStore()
     app = make_app(store, ReadingLinks(knows=knows))
     body = msgspec.json.encode({"spec": "work 50", "steps": [STEP]})
@@ -62,11 +62,7 @@
 
 
 def test_job_that_its_owner_knows_is_accepted_without_another_append() -> None:
-    """The store has done the append and its answer is lost; the owner reads the job at once.
-
-    Appended again, and once more, each record would wait its turn in a partition that is slow
-    already, and the caller would hear nothing until its deadline.
-    """
+    """Repeated appends would add to the load of a slow partition and delay the response."""
     assert submit(knows=True) == (200, 1)
 
 
