--- a/heatherkeel/gateway/app.py
+++ b/heatherkeel/gateway/app.py
@@ -37,7 +37,7 @@
             return await async_run_lifespan(receive, send)
         if scope["type"] != "http":
             return None
-        began = time.monotonic()
+        started_s = time.monotonic()
 
         async def async_send(message: Message) -> None:
             if message["type"] == "http.response.start" and not self.parts.takes_callers():
@@ -51,5 +51,5 @@
             await exchange.async_serve()
         except ClientGoneError:
             _LOGGER.info("caller left", extra={"event": "caller_gone", "path": scope["path"]})
-        self.parts.metrics.observe(method=scope["method"], seconds=time.monotonic() - began)
+        self.parts.metrics.observe(method=scope["method"], seconds=time.monotonic() - started_s)
         return None
--- a/heatherkeel/gateway/const.py
+++ b/heatherkeel/gateway/const.py
@@ -10,16 +10,16 @@
 """Part of the deadline that is reserved for sending the response, in milliseconds."""
 APPEND_TIMEOUT_S: Final = 1.0
 """Timeout of one append of a submission, in seconds. Appends are idempotent and can be retried."""
-CUT_OFF_LOOKUP_S: Final = 0.8
+NOT_READY_LOOKUP_TIMEOUT_S: Final = 0.8
 """Timeout of a job lookup in a process that is not ready, in seconds, so that the caller can soon
 retry at another process."""
-REPEAT_PAUSE_S: Final = 0.1
-RETRY_BUSY_S: Final = 1
-"""Retry-After when the store's rate limit, which is per second, is exceeded, in seconds."""
-RETRY_AWAY_S: Final = 2
+APPEND_RETRY_DELAY_S: Final = 0.1
+RETRY_SOON_S: Final = 1
+"""Retry-After for short conditions such as the store's rate limit per second, in seconds."""
+RETRY_LATER_S: Final = 2
 """Retry-After when the store is unavailable, in seconds."""
-RECENT_MS: Final = 10_000
+RECENT_JOBS_MS: Final = 10_000
 """How long an accepted job is remembered, in milliseconds; longer than its owner takes to read it
 from the store."""
-STORED_MAX_AGE_MS: Final = 800
+CACHED_MAX_AGE_MS: Final = 800
 """Longest age of cached partition records when the owner is unresponsive, in milliseconds."""
--- a/heatherkeel/gateway/exchange.py
+++ b/heatherkeel/gateway/exchange.py
@@ -40,12 +40,12 @@
 
 from .const import (
     ANSWER_MARGIN_MS,
+    APPEND_RETRY_DELAY_S,
     APPEND_TIMEOUT_S,
-    CUT_OFF_LOOKUP_S,
     DEFAULT_DEADLINE_MS,
-    REPEAT_PAUSE_S,
-    RETRY_AWAY_S,
-    RETRY_BUSY_S,
+    NOT_READY_LOOKUP_TIMEOUT_S,
+    RETRY_LATER_S,
+    RETRY_SOON_S,
 )
 from .lookup import Lookup
 from .metrics import GatewayMetrics
@@ -54,8 +54,8 @@
 
 _LOGGER = logging.getLogger(__name__)
 _JOB_ID: Final = re.compile(r"[0-9a-f]{16}\Z")
-_TOO_MANY: Final = 429
-_STATUS: Final = {
+_TOO_MANY_REQUESTS: Final = 429
+_STATUS_BY_REASON: Final = {
     Refusal.NO_CONFIGURATION: 503,
     Refusal.NO_LAYOUT: 503,
     Refusal.NO_SUCH_QUEUE: 404,
@@ -97,7 +97,7 @@
         """Handle the request and send the response."""
         config = self.parts.directory.config
         if config is None:
-            return await self._async_refuse(Refusal.NO_CONFIGURATION, retry_s=RETRY_BUSY_S)
+            return await self._async_refuse(Refusal.NO_CONFIGURATION, retry_s=RETRY_SOON_S)
         path = self.request.path
         queue = find_queue(config, host=self.request.headers.get("host", ""), path=path)
         if queue is None:
@@ -105,7 +105,7 @@
         job_id = path[len(queue.path_prefix) :]
         actions: dict[str, Callable[[Queue, str], Awaitable[None]]] = {
             "POST": self._async_submit,
-            "GET": self._async_tell,
+            "GET": self._async_query,
             "DELETE": self._async_cancel,
         }
         action = actions.get(self.request.method)
@@ -114,9 +114,9 @@
         if not self.parts.directory.layout.partitions_of(queue.service):
             # The service or this process is new. Without a layout, processes could store a job in
             # different partitions.
-            return await self._async_refuse(Refusal.NO_LAYOUT, retry_s=RETRY_BUSY_S)
+            return await self._async_refuse(Refusal.NO_LAYOUT, retry_s=RETRY_SOON_S)
         if not job_id and self.request.method == "GET":
-            return await self._async_tell_length(queue)
+            return await self._async_send_queue_length(queue)
         if not _JOB_ID.match(job_id):
             return await self._async_refuse(Refusal.NO_SUCH_QUEUE)
         return await action(queue, job_id)
@@ -150,7 +150,7 @@
             partition,
             record,
             job_id,
-            is_stored=lambda: self.parts.lookup.async_is_taken(partition, job_id),
+            is_stored=lambda: self.parts.lookup.async_is_accepted(partition, job_id),
         )
         if refusal is not None:
             return None
@@ -165,7 +165,7 @@
                 "version": config.version if config else 0,
             },
         )
-        return await self._async_tell_state(JobState.PENDING)
+        return await self._async_send_state(JobState.PENDING)
 
     async def _async_store(
         self,
@@ -181,56 +181,56 @@
         reported as not accepted only if every append was refused, since an append without a
         response may still take effect.
         """
-        is_unknown = False
+        outcome_unknown = False
         if self.parts.store.find_health(JOBS_TOPIC, partition).is_away():
-            await self._async_refuse(Refusal.STORE_AWAY, job_id=job_id, retry_s=RETRY_AWAY_S)
+            await self._async_refuse(Refusal.STORE_AWAY, job_id=job_id, retry_s=RETRY_LATER_S)
             return Refusal.STORE_AWAY
         while True:
-            left_s = (self.deadline_ms - monotonic_ms()) / 1000
-            if left_s <= 0:
+            remaining_s = (self.deadline_ms - monotonic_ms()) / 1000
+            if remaining_s <= 0:
                 break
             appended = await self.parts.store.async_append(
                 JOBS_TOPIC,
                 partition,
                 [record],
-                longest_s=min(APPEND_TIMEOUT_S, left_s),
+                longest_s=min(APPEND_TIMEOUT_S, remaining_s),
             )
             if not isinstance(appended, Err):
                 return None
             error = appended.err_value
-            is_unknown |= error.failure is not Failure.REFUSED
-            if not is_unknown:
-                retry_s = RETRY_BUSY_S if error.status == _TOO_MANY else RETRY_AWAY_S
+            outcome_unknown |= error.failure is not Failure.REFUSED
+            if not outcome_unknown:
+                retry_s = RETRY_SOON_S if error.status == _TOO_MANY_REQUESTS else RETRY_LATER_S
                 await self._async_refuse(
                     Refusal.STORE_REFUSED, job_id=job_id, detail=error.detail, retry_s=retry_s
                 )
                 return Refusal.STORE_REFUSED
             if is_stored is not None and await is_stored():
                 return None
-            await trio.sleep(REPEAT_PAUSE_S)
+            await trio.sleep(APPEND_RETRY_DELAY_S)
         await self._async_refuse(Refusal.STORE_SILENT, job_id=job_id)
         return Refusal.STORE_SILENT
 
-    async def _async_tell(self, queue: Queue, job_id: str) -> None:
-        found = await self._async_find(queue, job_id)
+    async def _async_query(self, queue: Queue, job_id: str) -> None:
+        found = await self._async_find_state(queue, job_id)
         if isinstance(found, Refusal):
             return await self._async_refuse(found, job_id=job_id)
-        return await self._async_tell_state(found)
+        return await self._async_send_state(found)
 
-    async def _async_find(self, queue: Queue, job_id: str) -> JobState | Refusal:
+    async def _async_find_state(self, queue: Queue, job_id: str) -> JobState | Refusal:
         """Return a job's state, or the reason why it is not available."""
         found: JobState | Err[str] | None = Err("no answer in time")
-        left_s = max(0.0, (self.deadline_ms - monotonic_ms()) / 1000)
+        remaining_s = max(0.0, (self.deadline_ms - monotonic_ms()) / 1000)
         if not self.parts.takes_callers():
-            left_s = min(left_s, CUT_OFF_LOOKUP_S)
-        with trio.move_on_after(left_s):
+            remaining_s = min(remaining_s, NOT_READY_LOOKUP_TIMEOUT_S)
+        with trio.move_on_after(remaining_s):
             found = await self.parts.lookup.async_find_state(self._partition(queue, job_id), job_id)
         if isinstance(found, Err):
             return Refusal.OWNER_SILENT
         return Refusal.NO_SUCH_JOB if found is None else found
 
     async def _async_cancel(self, queue: Queue, job_id: str) -> None:
-        found = await self._async_find(queue, job_id)
+        found = await self._async_find_state(queue, job_id)
         if found is Refusal.NO_SUCH_JOB:
             return await self._async_refuse(Refusal.NO_SUCH_JOB, job_id=job_id)
         if not isinstance(found, JobState) or not found.is_final():
@@ -241,9 +241,9 @@
             "cancel accepted",
             extra={"event": "cancel_accepted", "job": job_id, "queue": queue.name},
         )
-        return await self._async_tell_state(JobState.CANCELED)
+        return await self._async_send_state(JobState.CANCELED)
 
-    async def _async_tell_length(self, queue: Queue) -> None:
+    async def _async_send_queue_length(self, queue: Queue) -> None:
         pending: int | None = None
         with trio.move_on_after(max(0.0, (self.deadline_ms - monotonic_ms()) / 1000)):
             partitions = self.parts.directory.layout.partitions_of(queue.service)
@@ -252,7 +252,7 @@
             return await self._async_refuse(Refusal.OWNER_SILENT)
         return await async_respond(self.send, status=200, body=encode_queue_length(pending))
 
-    async def _async_tell_state(self, state: JobState) -> None:
+    async def _async_send_state(self, state: JobState) -> None:
         await async_respond(self.send, status=200, body=encode_job_state(state.value))
 
     async def _async_refuse(
@@ -272,7 +272,7 @@
         )
         await async_respond_problem(
             self.send,
-            status=_STATUS[reason],
+            status=_STATUS_BY_REASON[reason],
             kind=reason.value,
             title=reason.value.replace("_", " "),
             detail=detail,
--- a/heatherkeel/gateway/lookup.py
+++ b/heatherkeel/gateway/lookup.py
@@ -25,11 +25,11 @@
     QueueQuestion,
 )
 
-from .const import RECENT_MS, STORED_MAX_AGE_MS
+from .const import CACHED_MAX_AGE_MS, RECENT_JOBS_MS
 
 
 @dataclass(kw_only=True, slots=True)
-class StoredReading:
+class CachedRecords:
     """A partition's records and the time at which they were read."""
 
     read_ms: int
@@ -44,20 +44,20 @@
     holders: HolderCache
     links: QuestionLinks
     recent: dict[str, int] = field(default_factory=dict)
-    readings: dict[int, StoredReading] = field(default_factory=dict)
+    cached_records: dict[int, CachedRecords] = field(default_factory=dict)
 
     def remember(self, job_id: str) -> None:
         """Remember a job that this process has just accepted."""
         now_ms = monotonic_ms()
         self.recent[job_id] = now_ms
-        while (oldest := next(iter(self.recent))) and now_ms - self.recent[oldest] > RECENT_MS:
+        while (oldest := next(iter(self.recent))) and now_ms - self.recent[oldest] > RECENT_JOBS_MS:
             del self.recent[oldest]
 
     async def async_find_state(self, partition: int, job_id: str) -> JobState | Err[str] | None:
         """Return a job's state, None if there is no such job, or `Err` if it is not available."""
-        told = await self._async_ask(partition, JobQuestion(partition=partition, job_id=job_id))
-        if isinstance(told, JobAnswer):
-            state = JobState(told.state) if told.state else None
+        answer = await self._async_ask(partition, JobQuestion(partition=partition, job_id=job_id))
+        if isinstance(answer, JobAnswer):
+            state = JobState(answer.state) if answer.state else None
         else:
             found = await self._async_find_stored(partition, job_id)
             if isinstance(found, Err):
@@ -66,10 +66,10 @@
         # The owner reads a job from the store shortly after it was accepted.
         return JobState.PENDING if state is None and job_id in self.recent else state
 
-    async def async_is_taken(self, partition: int, job_id: str) -> bool:
+    async def async_is_accepted(self, partition: int, job_id: str) -> bool:
         """Return whether the partition's owner has read a job from the store."""
-        told = await self._async_ask(partition, JobQuestion(partition=partition, job_id=job_id))
-        return isinstance(told, JobAnswer) and bool(told.state)
+        answer = await self._async_ask(partition, JobQuestion(partition=partition, job_id=job_id))
+        return isinstance(answer, JobAnswer) and bool(answer.state)
 
     async def async_count_pending(self, partitions: Sequence[int], queue: str) -> int | None:
         """Return a queue's pending jobs over all partitions; None if any count is not available."""
@@ -85,9 +85,9 @@
         return sum(known) if len(known) == len(counts) else None
 
     async def _async_count_in(self, partition: int, queue: str) -> int | None:
-        told = await self._async_ask(partition, QueueQuestion(partition=partition, queue=queue))
-        if isinstance(told, QueueAnswer):
-            return told.pending
+        answer = await self._async_ask(partition, QueueQuestion(partition=partition, queue=queue))
+        if isinstance(answer, QueueAnswer):
+            return answer.pending
         stored = await self._async_read_stored(partition)
         if isinstance(stored, Err):
             return None
@@ -122,10 +122,10 @@
         return JobState.PENDING if job_id in stored.requests else None
 
     async def _async_read_stored(self, partition: int) -> StoredJobs | Err[str]:
-        known = self.readings.get(partition)
+        cached = self.cached_records.get(partition)
         now_ms = monotonic_ms()
-        if known is not None and now_ms - known.read_ms < STORED_MAX_AGE_MS:
-            return known.jobs
+        if cached is not None and now_ms - cached.read_ms < CACHED_MAX_AGE_MS:
+            return cached.jobs
         records = []
         # Requests must be read first: a job that ends in between then still has its progress.
         for topic in (JOBS_TOPIC, WORK_TOPIC):
@@ -135,5 +135,5 @@
             records.append(read.ok_value.records)
         jobs, work = (read_records(part) for part in records)
         merged = StoredJobs(requests=jobs.requests, progress=work.progress, canceled=jobs.canceled)
-        self.readings[partition] = StoredReading(read_ms=now_ms, jobs=merged)
+        self.cached_records[partition] = CachedRecords(read_ms=now_ms, jobs=merged)
         return merged
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -17,7 +17,7 @@
 DEADLINE_MS = 3000
 
 
-class SilentLinks(FakeLinks):
+class UnresponsiveLinks(FakeLinks):
     """Unresponsive owners: each question takes its whole timeout."""
 
     async def async_ask(
@@ -28,7 +28,7 @@
         return None
 
 
-class KnowingLinks(FakeLinks):
+class ActiveJobLinks(FakeLinks):
     """Owners that know every job."""
 
     async def async_ask(
@@ -38,7 +38,7 @@
         return JobAnswer(state="active")
 
 
-class SilentStore(FakeStore):
+class UnresponsiveStore(FakeStore):
     """An unresponsive store."""
 
     async def async_read_all_newest(self, topic: str, partition: int) -> Any:
@@ -48,12 +48,12 @@
 
 def ask(links: FakeLinks, *, takes_callers: bool) -> tuple[int, bool, float]:
     """Query a job; returns the status, whether the connection is closed, and the seconds."""
-    app = make_app(SilentStore(down=set()), links, takes_callers=takes_callers)
+    app = make_app(UnresponsiveStore(down=set()), links, takes_callers=takes_callers)
 
     async def async_ask() -> tuple[int, bool, float]:
-        began_s = trio.current_time()
+        started_s = trio.current_time()
         head = await async_call(app, "GET", deadline_ms=DEADLINE_MS)
-        took_s = trio.current_time() - began_s
+        took_s = trio.current_time() - started_s
         return head["status"], CLOSE_HEADER in head["headers"], took_s
 
     return trio.run(async_ask, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -63,18 +63,18 @@
     """A caller must not be kept at a partitioned process until its deadline, since other
     processes could return the job's state.
     """
-    status, is_closed, took_s = ask(SilentLinks({}), takes_callers=False)
+    status, is_closed, took_s = ask(UnresponsiveLinks({}), takes_callers=False)
     assert (status, is_closed) == (504, True)
     assert took_s < 1.0
 
 
 def test_process_that_takes_callers_asks_for_as_long_as_they_wait() -> None:
     """A ready process must not give up before the deadline because of one slow response."""
-    status, is_closed, took_s = ask(SilentLinks({}), takes_callers=True)
+    status, is_closed, took_s = ask(UnresponsiveLinks({}), takes_callers=True)
     assert (status, is_closed) == (504, False)
     assert took_s == pytest.approx(DEADLINE_MS / 1000, abs=0.3)
 
 
 def test_answers_are_given_also_by_a_process_that_is_stopping() -> None:
-    assert ask(KnowingLinks({}), takes_callers=False)[:2] == (200, True)
-    assert ask(KnowingLinks({}), takes_callers=True)[:2] == (200, False)
+    assert ask(ActiveJobLinks({}), takes_callers=False)[:2] == (200, True)
+    assert ask(ActiveJobLinks({}), takes_callers=True)[:2] == (200, False)
--- a/tests/gateway/test_submissions.py
+++ b/tests/gateway/test_submissions.py
@@ -39,23 +39,23 @@
         return Err(CallError(failure=Failure.UNKNOWN, detail="no answer in time"))
 
 
-class ReadingLinks(FakeLinks):
+class JobLinks(FakeLinks):
     """An owner that has read the job from the store, or hasn't."""
 
-    def __init__(self, *, knows: bool) -> None:
-        self.knows = knows
+    def __init__(self, *, is_known: bool) -> None:
+        self.is_known = is_known
 
     async def async_ask(
         self, address: str, question: Question, *, timeout_s: float = 0.5
     ) -> Answer | None:
         """Return the job's state, or none."""
-        return JobAnswer(state="pending" if self.knows else "")
+        return JobAnswer(state="pending" if self.is_known else "")
 
 
-def submit(*, knows: bool) -> tuple[int, int]:
+def submit(*, is_known: bool) -> tuple[int, int]:
     """Submit a job; returns the status and the number of appends."""
     store = LossyStore()
-    app = make_app(store, ReadingLinks(knows=knows))
+    app = make_app(store, JobLinks(is_known=is_known))
     body = msgspec.json.encode({"spec": "work 50", "steps": [STEP]})
     head = trio.run(partial(async_call, app, "POST", deadline_ms=DEADLINE_MS, body=body))
     return head["status"], store.appends
@@ -63,10 +63,10 @@
 
 def test_job_that_its_owner_knows_is_accepted_without_another_append() -> None:
     """Repeated appends would add to the load of a slow partition and delay the response."""
-    assert submit(knows=True) == (200, 1)
+    assert submit(is_known=True) == (200, 1)
 
 
 def test_job_that_nobody_knows_is_appended_again_and_never_said_not_to_run() -> None:
-    status, appends = submit(knows=False)
+    status, appends = submit(is_known=False)
     assert status == 504
     assert 2 <= appends <= 5
