--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -59,7 +59,7 @@
     return trio.run(async_ask, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_process_that_is_cut_off_answers_soon_and_closes_the_connection() -> None:
+def test_process_that_is_not_ready_responds_soon_and_closes_the_connection() -> None:
     """A caller must not be kept at a partitioned process until its deadline, since other
     processes could return the job's state.
     """
@@ -68,13 +68,13 @@
     assert took_s < 1.0
 
 
-def test_process_that_takes_callers_asks_for_as_long_as_they_wait() -> None:
+def test_ready_process_waits_until_the_deadline() -> None:
     """A ready process must not give up before the deadline because of one slow response."""
     status, is_closed, took_s = ask(UnresponsiveLinks({}), takes_callers=True)
     assert (status, is_closed) == (504, False)
     assert took_s == pytest.approx(DEADLINE_MS / 1000, abs=0.3)
 
 
-def test_answers_are_given_also_by_a_process_that_is_stopping() -> None:
+def test_process_that_is_not_ready_still_returns_job_states() -> None:
     assert ask(ActiveJobLinks({}), takes_callers=False)[:2] == (200, True)
     assert ask(ActiveJobLinks({}), takes_callers=True)[:2] == (200, False)
--- a/tests/gateway/test_lookup.py
+++ b/tests/gateway/test_lookup.py
@@ -62,11 +62,11 @@
     assert count({0: 3, 1: 0, 2: 4}) == 7
 
 
-def test_store_tells_for_an_owner_that_is_gone() -> None:
+def test_jobs_are_counted_in_the_store_if_the_owner_is_gone() -> None:
     """While a partition has no owner, its jobs are counted in the store."""
     assert count({0: 3, 2: 4}) == 7
 
 
-def test_part_of_a_length_is_never_told_as_the_whole() -> None:
+def test_partial_length_is_never_returned() -> None:
     """A partial sum would be too low, and an autoscaler would remove machines."""
     assert count({0: 3, 2: 4}, down={1}) is None
--- a/tests/gateway/test_submissions.py
+++ b/tests/gateway/test_submissions.py
@@ -66,7 +66,7 @@
     assert submit(is_known=True) == (200, 1)
 
 
-def test_job_that_nobody_knows_is_appended_again_and_never_said_not_to_run() -> None:
+def test_unknown_job_is_appended_again_and_never_reported_as_not_run() -> None:
     status, appends = submit(is_known=False)
     assert status == 504
     assert 2 <= appends <= 5
