--- a/heatherkeel/entry/claim_records.py
+++ b/heatherkeel/entry/claim_records.py
@@ -44,13 +44,13 @@
         )
         if isinstance(outcome, Err):
             failed = ClaimWriteFailed(now_ms=monotonic_ms(), request_id=effect.request_id)
-            self.node.take(failed)
+            self.node.handle_event(failed)
 
     def _decide(self, effect: ClaimRead) -> None:
         decided = ClaimDecided(
             now_ms=monotonic_ms(), request_id=effect.request_id, refusal=effect.refusal
         )
-        self.node.take(decided)
+        self.node.handle_event(decided)
 
     def _write_outcome(self, effect: WriteOutcome) -> None:
         assert self.nursery is not None
--- a/heatherkeel/entry/duties.py
+++ b/heatherkeel/entry/duties.py
@@ -49,7 +49,7 @@
         self.acknowledger = Acknowledger(node=node)
         self.coordinator = Coordinator(node=node, listing=self.listing)
         self.observer = HealthObserver(node=node, listing=self.listing)
-        self.pauses = PauseWatch(take=node.take)
+        self.pauses = PauseWatch(take=node.handle_event)
 
     def start(self) -> None:
         """Register all periodic work with the timer service."""
@@ -141,10 +141,10 @@
     def _report_lease(self, sent_ms: int) -> None:
         now_ms = monotonic_ms()
         if not self.joined:
-            self.node.take(LeaseRefused(now_ms=now_ms))
+            self.node.handle_event(LeaseRefused(now_ms=now_ms))
             return
         lease_ms = self.node.settings.routing.lease_ms
-        self.node.take(LeaseGranted(now_ms=now_ms, sent_ms=sent_ms, lease_ms=lease_ms))
+        self.node.handle_event(LeaseGranted(now_ms=now_ms, sent_ms=sent_ms, lease_ms=lease_ms))
 
     def _make_join(self) -> EntryJoin:
         settings = self.node.settings
--- a/heatherkeel/entry/duties_listing.py
+++ b/heatherkeel/entry/duties_listing.py
@@ -53,15 +53,15 @@
         now_ms = monotonic_ms()
         routing = self.node.state.local.routing
         for name in self.by_id.keys() - lines.keys():
-            self.node.take(TargetGone(now_ms=now_ms, target=name))
+            self.node.handle_event(TargetGone(now_ms=now_ms, target=name))
         for name, line in lines.items():
             target = routing.targets.get(name)
             is_withheld = target is not None and (target.leaving or target.gone)
             if line.state is not ListedState.LIVE and name not in routing.leaving:
                 source = LeavingSource.PLATFORM_LIST
-                self.node.take(TargetLeaving(now_ms=now_ms, target=name, source=source))
+                self.node.handle_event(TargetLeaving(now_ms=now_ms, target=name, source=source))
             elif line.state is ListedState.LIVE and (is_withheld or name in routing.leaving):
-                self.node.take(TargetLive(now_ms=now_ms, target=name))
+                self.node.handle_event(TargetLive(now_ms=now_ms, target=name))
         self.by_id = lines
 
     async def _async_report(self) -> None:
--- a/heatherkeel/entry/front.py
+++ b/heatherkeel/entry/front.py
@@ -118,7 +118,7 @@
             reason=fault.reason,
             detail=fault.detail,
         )
-        self.node.take(refused)
+        self.node.handle_event(refused)
         effect = await exchange.async_next()
         assert isinstance(effect, Refuse)
         await async_refuse(send, effect)
@@ -156,7 +156,7 @@
             fingerprint=fingerprint(outgoing) if keyed else "",
             deadline_ms=options.deadline_ms,
         )
-        self.node.take(arrived)
+        self.node.handle_event(arrived)
         self.unwatched_calls.append(call)
         try:
             await self._async_carry_out_effects(call)
@@ -188,7 +188,9 @@
             if call.ended:
                 return
             call.caller_gone = True
-            self.node.take(CallerGone(now_ms=monotonic_ms(), request_id=call.exchange.request_id))
+            self.node.handle_event(
+                CallerGone(now_ms=monotonic_ms(), request_id=call.exchange.request_id)
+            )
             if call.idempotent:
                 call.attempt_scope.cancel()
 
@@ -248,10 +250,10 @@
         # Must precede AttemptEnded, which frees the slot: a waiting request would otherwise be
         # sent to a target that has just announced its stop.
         if attempt is not None and attempt.leaving:
-            self.node.take(
+            self.node.handle_event(
                 TargetLeaving(now_ms=now_ms, target=effect.target, source=LeavingSource.TARGET)
             )
-        self.node.take(ended)
+        self.node.handle_event(ended)
 
 
 def _log_unknown(call: Call, refusal: Refuse) -> None:
--- a/heatherkeel/entry/node.py
+++ b/heatherkeel/entry/node.py
@@ -117,12 +117,12 @@
         _LOGGER.info(
             "state restored", extra={"event": "state_restored", "next_offset": fleet.next_offset}
         )
-        self.take(FleetRestored(now_ms=monotonic_ms()))
+        self.handle_event(FleetRestored(now_ms=monotonic_ms()))
 
     def apply_record(self, record: LogRecord) -> None:
         """Fold one record that was read from the log."""
         self.recent.add(record)
-        self.take(record)
+        self.handle_event(record)
 
     def apply_relayed_record(self, record: LogRecord) -> None:
         """Fold a record that a peer has read from the log and relayed."""
@@ -130,7 +130,7 @@
         self.clock.hear_record(record.at_ms)
         self.apply_record(record)
 
-    def take(self, event: Event) -> list[Effect]:
+    def handle_event(self, event: Event) -> list[Effect]:
         """Reduce one event, pass its effects to their subscribers, and return all effects."""
         effects = reduce(self.state, event)
         for effect in effects:
--- a/heatherkeel/entry/process.py
+++ b/heatherkeel/entry/process.py
@@ -43,7 +43,7 @@
         self.metrics = Metrics()
         self.links = PeerLinks(
             node=self.node.state,
-            take=self.node.take,
+            take=self.node.handle_event,
             take_relayed=self.node.apply_relayed_record,
             heard_at_ms=lambda: self.node.follower.heard_at_ms,
             recent=self.node.recent,
@@ -131,7 +131,7 @@
         """Send a tick to the reducer while requests or ejected targets wait for a time."""
         routing = self.node.state.local.routing
         if routing.deadlines or routing.ejected:
-            self.node.take(QueueTick(now_ms=monotonic_ms()))
+            self.node.handle_event(QueueTick(now_ms=monotonic_ms()))
 
     async def close(self) -> None:
         """Stop gracefully; the admin port closes last, so that the stop can be monitored."""
