--- a/heatherkeel/gateway/app.py
+++ b/heatherkeel/gateway/app.py
@@ -40,7 +40,7 @@
         started_s = time.monotonic()
 
         async def async_send(message: Message) -> None:
-            if message["type"] == "http.response.start" and not self.parts.takes_callers():
+            if message["type"] == "http.response.start" and not self.parts.accepts_callers():
                 message["headers"] = [*message["headers"], CLOSE_HEADER]
             await send(message)
 
--- a/heatherkeel/gateway/exchange.py
+++ b/heatherkeel/gateway/exchange.py
@@ -78,7 +78,7 @@
     directory: DirectoryState
     lookup: Lookup
     metrics: GatewayMetrics
-    takes_callers: Callable[[], bool]
+    accepts_callers: Callable[[], bool]
     """Returns whether this process is ready for callers."""
 
 
@@ -221,7 +221,7 @@
         """Return a job's state, or the reason why it is not available."""
         found: JobState | Err[str] | None = Err("no answer in time")
         remaining_s = max(0.0, (self.deadline_ms - monotonic_ms()) / 1000)
-        if not self.parts.takes_callers():
+        if not self.parts.accepts_callers():
             remaining_s = min(remaining_s, NOT_READY_LOOKUP_TIMEOUT_S)
         with trio.move_on_after(remaining_s):
             found = await self.parts.lookup.async_find_state(self._partition(queue, job_id), job_id)
--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -118,7 +118,7 @@
                     directory=self.directory.state,
                     lookup=self.lookup,
                     metrics=self.metrics,
-                    takes_callers=self.status.is_ready,
+                    accepts_callers=self.status.is_ready,
                 )
             ),
             bind=settings.listen.callers,
--- a/tests/gateway/calling.py
+++ b/tests/gateway/calling.py
@@ -20,7 +20,9 @@
 JOB_PATH = "/q/00000000000000aa"
 
 
-def make_app(store: StoreClient, links: QuestionLinks, *, takes_callers: bool = True) -> CallersApp:
+def make_app(
+    store: StoreClient, links: QuestionLinks, *, accepts_callers: bool = True
+) -> CallersApp:
     """Return an application with one queue in one partition."""
     parts = GatewayParts(
         store=store,
@@ -29,7 +31,7 @@
         ),
         lookup=Lookup(store=store, holders=FakeHolderCache(store=store), links=links),
         metrics=GatewayMetrics(),
-        takes_callers=lambda: takes_callers,
+        accepts_callers=lambda: accepts_callers,
     )
     return CallersApp(parts=parts)
 
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -46,9 +46,9 @@
         await trio.sleep(60)
 
 
-def ask(links: FakeLinks, *, takes_callers: bool) -> tuple[int, bool, float]:
+def ask(links: FakeLinks, *, accepts_callers: bool) -> tuple[int, bool, float]:
     """Query a job; returns the status, whether the connection is closed, and the seconds."""
-    app = make_app(UnresponsiveStore(down=set()), links, takes_callers=takes_callers)
+    app = make_app(UnresponsiveStore(down=set()), links, accepts_callers=accepts_callers)
 
     async def async_ask() -> tuple[int, bool, float]:
         started_s = trio.current_time()
@@ -63,18 +63,18 @@
     """A caller must not be kept at a partitioned process until its deadline, since other
     processes could return the job's state.
     """
-    status, is_closed, took_s = ask(UnresponsiveLinks({}), takes_callers=False)
+    status, is_closed, took_s = ask(UnresponsiveLinks({}), accepts_callers=False)
     assert (status, is_closed) == (504, True)
     assert took_s < 1.0
 
 
 def test_ready_process_waits_until_the_deadline() -> None:
     """A ready process must not give up before the deadline because of one slow response."""
-    status, is_closed, took_s = ask(UnresponsiveLinks({}), takes_callers=True)
+    status, is_closed, took_s = ask(UnresponsiveLinks({}), accepts_callers=True)
     assert (status, is_closed) == (504, False)
     assert took_s == pytest.approx(DEADLINE_MS / 1000, abs=0.3)
 
 
 def test_process_that_is_not_ready_still_returns_job_states() -> None:
-    assert ask(ActiveJobLinks({}), takes_callers=False)[:2] == (200, True)
-    assert ask(ActiveJobLinks({}), takes_callers=True)[:2] == (200, False)
+    assert ask(ActiveJobLinks({}), accepts_callers=False)[:2] == (200, True)
+    assert ask(ActiveJobLinks({}), accepts_callers=True)[:2] == (200, False)
