--- a/heatherkeel/gateway/app.py
+++ b/heatherkeel/gateway/app.py
@@ -15,7 +15,7 @@
     parse_request,
 )
 
-from .exchange import Exchange, GatewayParts
+from .exchange import Exchange, GatewayContext
 
 _LOGGER = logging.getLogger(__name__)
 CLOSE_HEADER: Final = (b"connection", b"close")
@@ -28,8 +28,8 @@
     new connections elsewhere, but open ones would otherwise keep their callers at this process.
     """
 
-    def __init__(self, *, parts: GatewayParts) -> None:
-        self.parts = parts
+    def __init__(self, *, context: GatewayContext) -> None:
+        self.context = context
 
     async def __call__(self, scope: Message, receive: Receive, send: Send) -> None:
         """Serve one ASGI scope."""
@@ -40,16 +40,16 @@
         started_s = time.monotonic()
 
         async def async_send(message: Message) -> None:
-            if message["type"] == "http.response.start" and not self.parts.accepts_callers():
+            if message["type"] == "http.response.start" and not self.context.accepts_callers():
                 message["headers"] = [*message["headers"], CLOSE_HEADER]
             await send(message)
 
         exchange = Exchange(
-            parts=self.parts, request=parse_request(scope, receive), send=async_send
+            context=self.context, request=parse_request(scope, receive), send=async_send
         )
         try:
             await exchange.async_serve()
         except ClientGoneError:
             _LOGGER.info("caller left", extra={"event": "caller_gone", "path": scope["path"]})
-        self.parts.metrics.observe(method=scope["method"], seconds=time.monotonic() - started_s)
+        self.context.metrics.observe(method=scope["method"], seconds=time.monotonic() - started_s)
         return None
--- a/heatherkeel/gateway/exchange.py
+++ b/heatherkeel/gateway/exchange.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class GatewayParts:
+class GatewayContext:
     """Services that the handling of a request uses."""
 
     store: StoreClient
@@ -85,8 +85,8 @@
 class Exchange:
     """One request of a caller and its response."""
 
-    def __init__(self, *, parts: GatewayParts, request: Request, send: Send) -> None:
-        self.parts = parts
+    def __init__(self, *, context: GatewayContext, request: Request, send: Send) -> None:
+        self.context = context
         self.request = request
         self.send = send
         deadline = request.headers.get(DEADLINE_HEADER, "")
@@ -95,7 +95,7 @@
 
     async def async_serve(self) -> None:
         """Handle the request and send the response."""
-        config = self.parts.directory.config
+        config = self.context.directory.config
         if config is None:
             return await self._async_refuse(Refusal.NO_CONFIGURATION, retry_s=RETRY_SOON_S)
         path = self.request.path
@@ -111,7 +111,7 @@
         action = actions.get(self.request.method)
         if action is None:
             return await self._async_refuse(Refusal.WRONG_METHOD)
-        if not self.parts.directory.layout.partitions_of(queue.service):
+        if not self.context.directory.layout.partitions_of(queue.service):
             # The service or this process is new. Without a layout, processes could store a job in
             # different partitions.
             return await self._async_refuse(Refusal.NO_LAYOUT, retry_s=RETRY_SOON_S)
@@ -122,12 +122,12 @@
         return await action(queue, job_id)
 
     def _partition(self, queue: Queue, job_id: str) -> int:
-        partition = self.parts.directory.layout.partition_of_job(queue.service, job_id)
+        partition = self.context.directory.layout.partition_of_job(queue.service, job_id)
         assert partition is not None, "a service in the layout is never removed"
         return partition
 
     async def _async_submit(self, queue: Queue, job_id: str) -> None:
-        config = self.parts.directory.config
+        config = self.context.directory.config
         limit = config.limits.body_bytes if config else 0
         body = await self.request.async_body(limit_bytes=limit)
         if isinstance(body, Err):
@@ -150,11 +150,11 @@
             partition,
             record,
             job_id,
-            is_stored=lambda: self.parts.lookup.async_is_accepted(partition, job_id),
+            is_stored=lambda: self.context.lookup.async_is_accepted(partition, job_id),
         )
         if refusal is not None:
             return None
-        self.parts.lookup.remember(job_id)
+        self.context.lookup.remember(job_id)
         _LOGGER.info(
             "job accepted",
             extra={
@@ -182,14 +182,14 @@
         response may still take effect.
         """
         outcome_unknown = False
-        if self.parts.store.find_health(JOBS_TOPIC, partition).is_away():
+        if self.context.store.find_health(JOBS_TOPIC, partition).is_away():
             await self._async_refuse(Refusal.STORE_AWAY, job_id=job_id, retry_s=RETRY_LATER_S)
             return Refusal.STORE_AWAY
         while True:
             remaining_s = (self.deadline_ms - monotonic_ms()) / 1000
             if remaining_s <= 0:
                 break
-            appended = await self.parts.store.async_append(
+            appended = await self.context.store.async_append(
                 JOBS_TOPIC,
                 partition,
                 [record],
@@ -221,10 +221,12 @@
         """Return a job's state, or the reason why it is not available."""
         found: JobState | Err[str] | None = Err("no answer in time")
         remaining_s = max(0.0, (self.deadline_ms - monotonic_ms()) / 1000)
-        if not self.parts.accepts_callers():
+        if not self.context.accepts_callers():
             remaining_s = min(remaining_s, NOT_READY_LOOKUP_TIMEOUT_S)
         with trio.move_on_after(remaining_s):
-            found = await self.parts.lookup.async_find_state(self._partition(queue, job_id), job_id)
+            found = await self.context.lookup.async_find_state(
+                self._partition(queue, job_id), job_id
+            )
         if isinstance(found, Err):
             return Refusal.OWNER_SILENT
         return Refusal.NO_SUCH_JOB if found is None else found
@@ -246,8 +248,8 @@
     async def _async_send_queue_length(self, queue: Queue) -> None:
         pending: int | None = None
         with trio.move_on_after(max(0.0, (self.deadline_ms - monotonic_ms()) / 1000)):
-            partitions = self.parts.directory.layout.partitions_of(queue.service)
-            pending = await self.parts.lookup.async_count_pending(partitions, queue.name)
+            partitions = self.context.directory.layout.partitions_of(queue.service)
+            pending = await self.context.lookup.async_count_pending(partitions, queue.name)
         if pending is None:
             return await self._async_refuse(Refusal.OWNER_SILENT)
         return await async_respond(self.send, status=200, body=encode_queue_length(pending))
@@ -258,7 +260,7 @@
     async def _async_refuse(
         self, reason: Refusal, *, job_id: str = "", detail: str = "", retry_s: int = 0
     ) -> None:
-        self.parts.metrics.count_refusal(reason)
+        self.context.metrics.count_refusal(reason)
         _LOGGER.info(
             "request refused",
             extra={
--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -15,7 +15,7 @@
 from heatherkeel.dispatch.metrics import DispatchMetrics
 from heatherkeel.dispatch.owner import PartitionOwner
 from heatherkeel.gateway.app import CallersApp
-from heatherkeel.gateway.exchange import GatewayParts
+from heatherkeel.gateway.exchange import GatewayContext
 from heatherkeel.gateway.lookup import Lookup
 from heatherkeel.gateway.metrics import GatewayMetrics
 from heatherkeel.helpers.server import HttpServer
@@ -113,7 +113,7 @@
         )
         self.callers = HttpServer(
             app=CallersApp(
-                parts=GatewayParts(
+                context=GatewayContext(
                     store=self.store,
                     directory=self.directory.state,
                     lookup=self.lookup,
--- a/tests/gateway/calling.py
+++ b/tests/gateway/calling.py
@@ -6,7 +6,7 @@
 
 from heatherkeel.directory.directory import DirectoryState
 from heatherkeel.gateway.app import CallersApp
-from heatherkeel.gateway.exchange import GatewayParts
+from heatherkeel.gateway.exchange import GatewayContext
 from heatherkeel.gateway.lookup import Lookup
 from heatherkeel.gateway.metrics import GatewayMetrics
 from heatherkeel.ownership.partitions import Layout
@@ -24,7 +24,7 @@
     store: StoreClient, links: QuestionLinks, *, accepts_callers: bool = True
 ) -> CallersApp:
     """Return an application with one queue in one partition."""
-    parts = GatewayParts(
+    context = GatewayContext(
         store=store,
         directory=DirectoryState(
             config=Configuration(version=1, queues=[QUEUE]), layout=Layout(shares={"portal": (0,)})
@@ -33,7 +33,7 @@
         metrics=GatewayMetrics(),
         accepts_callers=lambda: accepts_callers,
     )
-    return CallersApp(parts=parts)
+    return CallersApp(context=context)
 
 
 async def async_call(
