--- a/heatherkeel/entry/claim_records.py
+++ b/heatherkeel/entry/claim_records.py
@@ -24,7 +24,7 @@
     def __init__(self, *, node: Node) -> None:
         self.node = node
         self.nursery: trio.Nursery | None = None
-        self.unwritten = 0
+        self.pending_writes = 0
         self.all_written = trio.Event()
         node.subscribe(WriteClaim, self._write_claim)
         node.subscribe(ClaimRead, self._decide)
@@ -54,7 +54,7 @@
 
     def _write_outcome(self, effect: WriteOutcome) -> None:
         assert self.nursery is not None
-        self.unwritten += 1
+        self.pending_writes += 1
         self.nursery.start_soon(self._async_write_outcome, effect)
 
     async def _async_write_outcome(self, effect: WriteOutcome) -> None:
@@ -67,13 +67,13 @@
         if isinstance(outcome, Err):
             extra = {"event": "outcome_not_written", "record_id": effect.record_id}
             _LOGGER.warning("outcome: %s", outcome.err_value, extra=extra)
-        self.unwritten -= 1
-        if not self.unwritten:
+        self.pending_writes -= 1
+        if not self.pending_writes:
             self.all_written.set()
             self.all_written = trio.Event()
 
     async def async_finish(self, *, timeout_s: float) -> None:
         """Wait for the pending outcome writes; without them a retry gets the outcome `unknown`."""
         with trio.move_on_after(timeout_s):
-            while self.unwritten:
+            while self.pending_writes:
                 await self.all_written.wait()
--- a/heatherkeel/entry/const.py
+++ b/heatherkeel/entry/const.py
@@ -54,10 +54,10 @@
 OUTCOME_WRITE_TIMEOUT_S: Final = 60.0
 """Timeout for writing the outcome of a claimed request, in seconds."""
 
-WATCH_INTERVAL_MS: Final = 50
+CALLER_WATCH_INTERVAL_MS: Final = 50
 """Interval at which disconnect watchers are started for open requests, in milliseconds."""
 
-CLOSE_INTERVAL_MS: Final = 1_000
+CONNECTION_CLOSE_INTERVAL_MS: Final = 1_000
 """Interval at which unused connections are closed, in milliseconds."""
 
 HEALTH_PATH: Final = "/healthz"
@@ -69,14 +69,14 @@
 FINISH_MARGIN_S: Final = 5.0
 """Time to finish a response to a slow caller after its request's deadline, in seconds."""
 
-START_FIRST_PAUSE_S: Final = 0.1
-START_LONGEST_PAUSE_S: Final = 2.0
+START_FIRST_DELAY_S: Final = 0.1
+START_MAX_DELAY_S: Final = 2.0
 """Delays between attempts to load the initial state, in seconds; they double up to the longest."""
 
 LEAVE_TIMEOUT_S: Final = 2.0
 """Timeout for the leave record of a stopping process to be settled, in seconds."""
 
-MAX_ACKNOWLEDGED_AT_ONCE: Final = 256
+MAX_DRAINS_PER_ACKNOWLEDGEMENT: Final = 256
 """Most drains in one acknowledgement record; the rest follows in the next one."""
 
 TAKEOVER_MS: Final = 1_500
@@ -103,11 +103,11 @@
 PLAN_INTERVAL_MS: Final = 500
 """Interval at which the entry instance of rank 0 plans new drains, in milliseconds."""
 
-RETURN_POLL_MS: Final = 250
+REBOOT_POLL_MS: Final = 250
 """Interval at which the progress of a reboot is polled, in milliseconds."""
 
 OBSERVE_INTERVAL_MS: Final = 500
 """Interval at which a process checks for suspect instances, in milliseconds."""
 
-OBSERVE_AGAIN_MS: Final = 5_000
+PROBE_RETRY_MS: Final = 5_000
 """Time before one process probes the same suspect instance again, in milliseconds."""
--- a/heatherkeel/entry/duties_acknowledge.py
+++ b/heatherkeel/entry/duties_acknowledge.py
@@ -11,7 +11,7 @@
 from heatherkeel.membership.sponsor import are_newcomers_quiet
 from heatherkeel.waves.models import AckedDrain, DrainAck
 
-from .const import MAX_ACKNOWLEDGED_AT_ONCE, WRITE_TIMEOUT_S
+from .const import MAX_DRAINS_PER_ACKNOWLEDGEMENT, WRITE_TIMEOUT_S
 from .node import Node
 
 _LOGGER = logging.getLogger(__name__)
@@ -31,7 +31,7 @@
         body = DrainAck(
             entry=self.node.settings.instance.id,
             incarnation=self.node.incarnation,
-            instances=tuple(drains[:MAX_ACKNOWLEDGED_AT_ONCE]),
+            instances=tuple(drains[:MAX_DRAINS_PER_ACKNOWLEDGEMENT]),
         )
         outcome = await self.node.writer.async_write(body, timeout_s=WRITE_TIMEOUT_S)
         if isinstance(outcome, Err):
--- a/heatherkeel/entry/duties_coordinate.py
+++ b/heatherkeel/entry/duties_coordinate.py
@@ -29,7 +29,7 @@
 from heatherkeel.waves.models import DrainStart, Returned
 from heatherkeel.waves.policy import plan
 
-from .const import PLAN_INTERVAL_MS, RETRY_MS, RETURN_POLL_MS, TAKEOVER_MS, WRITE_TIMEOUT_S
+from .const import PLAN_INTERVAL_MS, REBOOT_POLL_MS, RETRY_MS, TAKEOVER_MS, WRITE_TIMEOUT_S
 from .duties_listing import InstanceListing
 from .node import Node
 from .probes import async_probe
@@ -47,7 +47,7 @@
         self.node = node
         self.listing = listing
         self.step_schedule = TakeoverSchedule(takeover_ms=TAKEOVER_MS, retry_ms=RETRY_MS)
-        self.restart_schedule = TakeoverSchedule(takeover_ms=TAKEOVER_MS, retry_ms=RETURN_POLL_MS)
+        self.restart_schedule = TakeoverSchedule(takeover_ms=TAKEOVER_MS, retry_ms=REBOOT_POLL_MS)
         self.planned: list[DrainStart] = []
         self.planned_at_ms = 0
 
--- a/heatherkeel/entry/duties_health.py
+++ b/heatherkeel/entry/duties_health.py
@@ -14,7 +14,7 @@
 from heatherkeel.requests.const import EJECT_AFTER_FAILURES
 from heatherkeel.waves.models import Returned
 
-from .const import OBSERVE_AGAIN_MS, WRITE_TIMEOUT_S
+from .const import PROBE_RETRY_MS, WRITE_TIMEOUT_S
 from .duties_listing import InstanceListing
 from .node import Node
 from .probes import async_probe
@@ -27,7 +27,7 @@
     def __init__(self, *, node: Node, listing: InstanceListing) -> None:
         self.node = node
         self.listing = listing
-        self.schedule = TakeoverSchedule(takeover_ms=0, retry_ms=OBSERVE_AGAIN_MS)
+        self.schedule = TakeoverSchedule(takeover_ms=0, retry_ms=PROBE_RETRY_MS)
 
     async def async_observe(self) -> None:
         """Probe all suspect instances concurrently."""
--- a/heatherkeel/entry/front.py
+++ b/heatherkeel/entry/front.py
@@ -44,7 +44,7 @@
 from .const import IDEMPOTENT_METHODS, REQUEST_ID_HEADER
 from .exchanges import Exchange, Exchanges
 from .node import Node
-from .reading import InputFault, ReadRequest, async_read, fingerprint, outgoing_headers
+from .reading import InvalidInput, ReadRequest, async_read, fingerprint, outgoing_headers
 from .sender import Attempt, OutgoingRequest, Sender, async_send_buffered
 
 _LOGGER = logging.getLogger(__name__)
@@ -102,21 +102,21 @@
             match await async_read(self.node.state.local.routing, request):
                 case Ok(read):
                     await self._async_exchange(exchange, request, read, send)
-                case Err(fault):
-                    await self._async_refuse_input(exchange, fault, send)
+                case Err(invalid):
+                    await self._async_refuse_input(exchange, invalid, send)
         except ClientGoneError:
             return
         finally:
             self.exchanges.close(exchange)
 
     async def _async_refuse_input(
-        self, exchange: Exchange, fault: InputFault, send: AsgiSend
+        self, exchange: Exchange, invalid: InvalidInput, send: AsgiSend
     ) -> None:
         refused = InputRefused(
             now_ms=monotonic_ms(),
             request_id=exchange.request_id,
-            reason=fault.reason,
-            detail=fault.detail,
+            reason=invalid.reason,
+            detail=invalid.detail,
         )
         self.node.handle_event(refused)
         effect = await exchange.async_next()
--- a/heatherkeel/entry/process.py
+++ b/heatherkeel/entry/process.py
@@ -23,12 +23,12 @@
 from heatherkeel.requests.events import QueueTick
 from heatherkeel.settings.models import EntrySettings
 
-from .const import CLOSE_INTERVAL_MS, WATCH_INTERVAL_MS, WRITE_TIMEOUT_S
+from .const import CALLER_WATCH_INTERVAL_MS, CONNECTION_CLOSE_INTERVAL_MS, WRITE_TIMEOUT_S
 from .duties import Duties
 from .front import ProxyApp
 from .node import Node
 from .start import NodeStart
-from .stopping import async_stop_callers
+from .stopping import async_finish_callers
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -110,12 +110,12 @@
         )
         self.node.timers.subscribe(
             name="callers",
-            interval_ms=WATCH_INTERVAL_MS,
+            interval_ms=CALLER_WATCH_INTERVAL_MS,
             callback=self.proxy.async_watch_callers,
         )
         self.node.timers.subscribe(
             name="connections",
-            interval_ms=CLOSE_INTERVAL_MS,
+            interval_ms=CONNECTION_CLOSE_INTERVAL_MS,
             callback=self.proxy.connections.async_close_retired,
         )
         self.node.timers.subscribe(
@@ -135,7 +135,7 @@
 
     async def close(self) -> None:
         """Stop gracefully; the admin port closes last, so that the stop can be monitored."""
-        await async_stop_callers(
+        await async_finish_callers(
             http=self.http, readiness=self.readiness, fleet=self.node.state.fleet
         )
         await self.proxy.claims.async_finish(timeout_s=WRITE_TIMEOUT_S)
--- a/heatherkeel/entry/reading.py
+++ b/heatherkeel/entry/reading.py
@@ -34,18 +34,18 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class InputFault:
+class InvalidInput:
     """Why a request is not accepted."""
 
     reason: RefusalReason
     detail: str
 
 
-async def async_read(routing: RoutingState, request: Request) -> Result[ReadRequest, InputFault]:
+async def async_read(routing: RoutingState, request: Request) -> Result[ReadRequest, InvalidInput]:
     """Read the options and the body; the body is skipped if no service matches the path."""
     options = read_options(request.headers)
     if isinstance(options, Err):
-        return Err(InputFault(reason=RefusalReason.BAD_HEADER, detail=options.err_value))
+        return Err(InvalidInput(reason=RefusalReason.BAD_HEADER, detail=options.err_value))
     service = find_service(routing, request.path)
     if service is None:
         return Ok(ReadRequest(options=options.ok_value, body=b""))
@@ -53,7 +53,7 @@
     body = await request.async_body(limit_bytes=limit_bytes)
     if isinstance(body, Err):
         detail = f"at most {limit_bytes} bytes are taken"
-        return Err(InputFault(reason=RefusalReason.BODY_TOO_LARGE, detail=detail))
+        return Err(InvalidInput(reason=RefusalReason.BODY_TOO_LARGE, detail=detail))
     return Ok(ReadRequest(options=options.ok_value, body=body.ok_value))
 
 
--- a/heatherkeel/entry/start.py
+++ b/heatherkeel/entry/start.py
@@ -12,7 +12,7 @@
 from heatherkeel.helpers.clock import monotonic_ms
 from heatherkeel.membership.links import PeerLinks
 
-from .const import START_FIRST_PAUSE_S, START_LONGEST_PAUSE_S
+from .const import START_FIRST_DELAY_S, START_MAX_DELAY_S
 from .node import Node
 
 _LOGGER = logging.getLogger(__name__)
@@ -25,7 +25,7 @@
         self.node = node
         self.links = links
         self.done = trio.Event()
-        self.backoff = Backoff(first_s=START_FIRST_PAUSE_S, limit_s=START_LONGEST_PAUSE_S)
+        self.backoff = Backoff(first_s=START_FIRST_DELAY_S, limit_s=START_MAX_DELAY_S)
 
     def start(self, nursery: trio.Nursery) -> None:
         """Start in the background; `done` is set when the state is ready."""
--- a/heatherkeel/entry/stopping.py
+++ b/heatherkeel/entry/stopping.py
@@ -16,7 +16,9 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-async def async_stop_callers(*, http: HttpServer, readiness: Readiness, fleet: FleetState) -> None:
+async def async_finish_callers(
+    *, http: HttpServer, readiness: Readiness, fleet: FleetState
+) -> None:
     """Stop accepting callers, and finish all requests in progress.
 
     Requests are accepted for `readiness_wait_ms` after the process reports not ready, since the
