--- a/heatherkeel/gateway/app.py
+++ b/heatherkeel/gateway/app.py
@@ -21,7 +21,7 @@
 CLOSE_HEADER: Final = (b"connection", b"close")
 
 
-class CallersApp:
+class JobApiApp:
     """Accepts and cancels jobs, and returns their states.
 
     A process that is not ready closes each connection after its response. The load balancer sends
--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -14,7 +14,7 @@
 from heatherkeel.directory.layout_reader import LayoutReader
 from heatherkeel.dispatch.metrics import DispatchMetrics
 from heatherkeel.dispatch.owner import PartitionOwner
-from heatherkeel.gateway.app import CallersApp
+from heatherkeel.gateway.app import JobApiApp
 from heatherkeel.gateway.exchange import GatewayContext
 from heatherkeel.gateway.lookup import Lookup
 from heatherkeel.gateway.metrics import GatewayMetrics
@@ -112,7 +112,7 @@
             store_heard_ms=self._store_heard_ms,
         )
         self.callers = HttpServer(
-            app=CallersApp(
+            app=JobApiApp(
                 context=GatewayContext(
                     store=self.store,
                     directory=self.directory.state,
--- a/tests/gateway/calling.py
+++ b/tests/gateway/calling.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from heatherkeel.directory.directory import DirectoryState
-from heatherkeel.gateway.app import CallersApp
+from heatherkeel.gateway.app import JobApiApp
 from heatherkeel.gateway.exchange import GatewayContext
 from heatherkeel.gateway.lookup import Lookup
 from heatherkeel.gateway.metrics import GatewayMetrics
@@ -22,7 +22,7 @@
 
 def make_app(
     store: StoreClient, links: QuestionLinks, *, accepts_callers: bool = True
-) -> CallersApp:
+) -> JobApiApp:
     """Return an application with one queue in one partition."""
     context = GatewayContext(
         store=store,
@@ -33,11 +33,11 @@
         metrics=GatewayMetrics(),
         accepts_callers=lambda: accepts_callers,
     )
-    return CallersApp(context=context)
+    return JobApiApp(context=context)
 
 
 async def async_call(
-    app: CallersApp, method: str, *, deadline_ms: int, body: bytes = b""
+    app: JobApiApp, method: str, *, deadline_ms: int, body: bytes = b""
 ) -> dict[str, Any]:
     """Send a request for one job; returns the start message of the response."""
     deadline = str(deadline_ms).encode()
