--- a/heatherkeel/entry/duties_health.py
+++ b/heatherkeel/entry/duties_health.py
@@ -44,7 +44,7 @@
 
     async def _async_probe(self, name: str) -> None:
         address = self.node.state.fleet.pools.instances[name].address
-        answers = await async_probe(address)
+        is_healthy = await async_probe(address)
         instance = self.node.state.fleet.pools.instances.get(name)
         if instance is None:
             return
@@ -52,7 +52,7 @@
             name,
             instance,
             self.listing.by_id.get(name),
-            answers=answers,
+            is_healthy=is_healthy,
             observer=self.node.settings.instance.id,
         )
         if report is not None:
@@ -79,13 +79,13 @@
     instance: Instance,
     line: ListedInstance | None,
     *,
-    answers: bool,
+    is_healthy: bool,
     observer: str,
 ) -> RecordBody | None:
     """Return the record that follows from a probe's result, or None."""
-    if instance.status is InstanceStatus.SERVING and not answers:
+    if instance.status is InstanceStatus.SERVING and not is_healthy:
         return InstanceObserved(instance=name, health=Health.FAILED, observer=observer)
-    if instance.status is not InstanceStatus.FAILED or not answers or line is None:
+    if instance.status is not InstanceStatus.FAILED or not is_healthy or line is None:
         return None
     if line.state is not ListedState.LIVE:
         return None
--- a/heatherkeel/entry/front.py
+++ b/heatherkeel/entry/front.py
@@ -138,7 +138,7 @@
             raw_target=request.raw_target,
             headers=outgoing_headers(request.headers),
             body=read.body,
-            keep_answer=keyed,
+            record_response=keyed,
         )
         call = Call(
             exchange=exchange,
@@ -236,7 +236,9 @@
         attempt = call.attempt
         is_complete = attempt is not None and result is AttemptResult.WHOLE_ANSWER
         recorded = (
-            attempt.recorded() if attempt and is_complete and call.outgoing.keep_answer else None
+            attempt.recorded()
+            if attempt and is_complete and call.outgoing.record_response
+            else None
         )
         ended = AttemptEnded(
             now_ms=now_ms,
--- a/heatherkeel/entry/sender.py
+++ b/heatherkeel/entry/sender.py
@@ -34,7 +34,7 @@
     raw_target: bytes
     headers: RawHeaders
     body: bytes
-    keep_answer: bool
+    record_response: bool
     """Whether the response is recorded, which needs its digest."""
 
 
@@ -142,7 +142,7 @@
     attempt.headers = response_headers_for_caller(effect.target, response.headers)
     async for part in response.aiter_stream():
         attempt.size += len(part)
-        if outgoing.keep_answer:
+        if outgoing.record_response:
             attempt.digest.update(part)
         await _async_buffer_or_stream(attempt, part, send)
     if attempt.streaming:
--- a/tests/entry/test_duties.py
+++ b/tests/entry/test_duties.py
@@ -147,9 +147,9 @@
     node.local.routing.targets["a0"] = view
     assert find_suspects(node) == ["a0"]
     instance = node.fleet.pools.instances["a0"]
-    report = find_report("a0", instance, line(), answers=False, observer="entry-a")
+    report = find_report("a0", instance, line(), is_healthy=False, observer="entry-a")
     assert report == InstanceObserved(instance="a0", health=Health.FAILED, observer="entry-a")
-    assert find_report("a0", instance, line(), answers=True, observer="entry-a") is None
+    assert find_report("a0", instance, line(), is_healthy=True, observer="entry-a") is None
 
 
 def test_a_failed_target_returns_with_a_new_boot_or_recovers() -> None:
@@ -161,9 +161,9 @@
     )
     instance = log.instance("a0")
     assert find_suspects(node_of(log)) == ["a0"]
-    again = find_report("a0", instance, line(boot_id="a0.2"), answers=True, observer="entry-a")
+    again = find_report("a0", instance, line(boot_id="a0.2"), is_healthy=True, observer="entry-a")
     assert again == Returned(instance="a0", expected_version=instance.version, boot_id="a0.2")
-    same = find_report("a0", instance, line(), answers=True, observer="entry-a")
+    same = find_report("a0", instance, line(), is_healthy=True, observer="entry-a")
     assert same == InstanceObserved(instance="a0", health=Health.HEALTHY, observer="entry-a")
     down = line(state=ListedState.DOWN)
-    assert find_report("a0", instance, down, answers=True, observer="entry-a") is None
+    assert find_report("a0", instance, down, is_healthy=True, observer="entry-a") is None
