--- a/heatherkeel/entry/front.py
+++ b/heatherkeel/entry/front.py
@@ -38,13 +38,13 @@
 )
 from heatherkeel.requests.reasons import Outcome
 
-from .answers import async_refuse, async_replay
 from .claim_records import ClaimRecords
 from .connections import TargetConnections
 from .const import IDEMPOTENT_METHODS, REQUEST_ID_HEADER
 from .exchanges import Exchange, Exchanges
 from .node import Node
 from .reading import InvalidInput, ReadRequest, async_read, fingerprint, outgoing_headers
+from .responses import async_refuse, async_replay
 from .sender import Attempt, OutgoingRequest, Sender, async_send_buffered
 
 _LOGGER = logging.getLogger(__name__)
--- a/heatherkeel/entry/sender.py
+++ b/heatherkeel/entry/sender.py
@@ -16,9 +16,9 @@
 from heatherkeel.requests.events import AttemptResult
 from heatherkeel.requests.models import RecordedAnswer
 
-from .answers import RawHeaders, async_send_complete, response_headers_for_caller
 from .connections import TargetConnections
 from .const import MAX_BUFFERED_RESPONSE_BYTES, OUTCOME_HEADER
+from .responses import RawHeaders, async_send_complete, response_headers_for_caller
 
 _REQUEST_STARTED_EVENT = "send_request_headers.started"
 _NOT_RUN = (OUTCOME_HEADER.encode(), b"not_run")
