--- a/heatherkeel/entry/claim_records.py
+++ b/heatherkeel/entry/claim_records.py
@@ -1,4 +1,4 @@
-"""Writes the claims of this process's requests, and their outcomes, to the log."""
+"""Writes claims of idempotency keys and the outcomes of their requests to the log."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 class ClaimRecords:
-    """Carries out the effects that concern claims."""
+    """Carries out the effects that write claims and outcomes."""
 
     def __init__(self, *, node: Node) -> None:
         self.node = node
         self.nursery: trio.Nursery | None = None
-        self.unwritten = 0
+        self.pending_writes = 0
         self.all_written = trio.Event()
         node.subscribe(WriteClaim, self._write_claim)
         node.subscribe(ClaimRead, self._decide)
         node.subscribe(WriteOutcome, self._write_outcome)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Write in the background."""
+        """Write in the background, in tasks of this nursery."""
         self.nursery = nursery
 
     def _write_claim(self, effect: WriteClaim) -> None:
@@ -44,17 +44,17 @@
         )
         if isinstance(outcome, Err):
             failed = ClaimWriteFailed(now_ms=monotonic_ms(), request_id=effect.request_id)
-            self.node.take(failed)
+            self.node.handle_event(failed)
 
     def _decide(self, effect: ClaimRead) -> None:
         decided = ClaimDecided(
             now_ms=monotonic_ms(), request_id=effect.request_id, refusal=effect.refusal
         )
-        self.node.take(decided)
+        self.node.handle_event(decided)
 
     def _write_outcome(self, effect: WriteOutcome) -> None:
         assert self.nursery is not None
-        self.unwritten += 1
+        self.pending_writes += 1
         self.nursery.start_soon(self._async_write_outcome, effect)
 
     async def _async_write_outcome(self, effect: WriteOutcome) -> None:
@@ -67,13 +67,13 @@
         if isinstance(outcome, Err):
             extra = {"event": "outcome_not_written", "record_id": effect.record_id}
             _LOGGER.warning("outcome: %s", outcome.err_value, extra=extra)
-        self.unwritten -= 1
-        if not self.unwritten:
+        self.pending_writes -= 1
+        if not self.pending_writes:
             self.all_written.set()
             self.all_written = trio.Event()
 
     async def async_finish(self, *, timeout_s: float) -> None:
-        """Wait until every outcome is in the log: a repeat would be told *unknown* without it."""
+        """Wait for the pending outcome writes; without them a retry gets the outcome `unknown`."""
         with trio.move_on_after(timeout_s):
-            while self.unwritten:
+            while self.pending_writes:
                 await self.all_written.wait()
--- a/heatherkeel/entry/duties.py
+++ b/heatherkeel/entry/duties.py
@@ -1,4 +1,4 @@
-"""What every entry process does by the clock: lease, shares, drains, health, the list."""
+"""Periodic work of an entry process: lease, shares, drains, health and the instance list."""
 
 from __future__ import annotations
 
@@ -35,31 +35,31 @@
 
 
 class Duties:
-    """Timed work of one entry process."""
+    """Periodic work of one entry process."""
 
     def __init__(self, *, node: Node) -> None:
         self.node = node
         self.peer_address = ""
-        """Where peers reach this process; known once the port is open."""
+        """Address at which peers reach this process; set once the port is open."""
         self.joined = False
         self.leaving = False
-        self.waited_for = trio.Event()
-        """Set when drains wait for this process: it has joined, or a peer sponsors it."""
+        self.included_in_drains = trio.Event()
+        """Set once drains wait for this process, because it has joined or a peer sponsors it."""
         self.listing = InstanceListing(node=node)
         self.acknowledger = Acknowledger(node=node)
         self.coordinator = Coordinator(node=node, listing=self.listing)
         self.observer = HealthObserver(node=node, listing=self.listing)
-        self.pauses = PauseDetector(handle_event=node.take)
+        self.pauses = PauseDetector(handle_event=node.handle_event)
 
     def start(self) -> None:
-        """Subscribe to the timer service."""
+        """Register all periodic work with the timer service."""
         if self.node.state.local.peers.sponsorship is not None:
-            self.waited_for.set()
+            self.included_in_drains.set()
         settings = self.node.settings
         self.node.timers.subscribe(
             name="lease",
             interval_ms=settings.routing.renew_interval_ms,
-            callback=self.async_hold_lease,
+            callback=self.async_renew_lease,
         )
         self.node.subscribe(LeaseWanted, lambda _: self.node.timers.wake("lease"))
         self.node.timers.subscribe(
@@ -82,8 +82,8 @@
             idle_interval_ms=IDLE_INTERVAL_MS,
             is_idle=lambda: not is_acknowledgement_due(self.node.state),
         )
-        # Most of the time nothing drains, and a wake-up costs some 0.2 ms. Whatever starts or
-        # moves a drain changes an instance, which wakes both.
+        # Polled rarely while there are no drains. Each step of a drain changes an instance, which
+        # wakes both callbacks.
         for name, interval_ms, callback in (
             ("acknowledge", ACKNOWLEDGE_INTERVAL_MS, self.acknowledger.async_acknowledge),
             ("coordinate", COORDINATE_INTERVAL_MS, self.coordinator.async_coordinate),
@@ -93,42 +93,42 @@
                 interval_ms=interval_ms,
                 callback=callback,
                 idle_interval_ms=IDLE_INTERVAL_MS,
-                is_idle=self._nothing_drains,
+                is_idle=self._has_no_drains,
             )
             self.node.subscribe(InstanceChanged, partial(self._wake, name))
 
-    def _nothing_drains(self) -> bool:
+    def _has_no_drains(self) -> bool:
         return not self.node.state.fleet.waves.drains
 
     def _wake(self, name: str, _: InstanceChanged) -> None:
         self.node.timers.wake(name)
 
-    async def async_hold_lease(self) -> None:
-        """Join, or renew the routing lease."""
+    async def async_renew_lease(self) -> None:
+        """Join the fleet, or renew the routing lease."""
         if self.leaving:
             return
         await self.node.follower.caught_up.wait()
         sent_ms = monotonic_ms()
-        renews = self.joined
-        body = self._renewal() if self.joined else self._join()
+        is_renewal = self.joined
+        body = self._make_renewal() if self.joined else self._make_join()
         outcome = await self.node.writer.async_write(body, timeout_s=WRITE_TIMEOUT_S)
         match outcome:
             case Ok(settled):
                 self.joined = not isinstance(settled.outcome, Rejected)
-                self._tell_lease(sent_ms)
+                self._report_lease(sent_ms)
                 if self.joined:
-                    self.waited_for.set()
-                if renews and not self.joined:
+                    self.included_in_drains.set()
+                if is_renewal and not self.joined:
                     self.node.timers.wake("lease")
             case Err(failure):
                 _LOGGER.warning("lease: %s", failure, extra={"event": "lease_not_renewed"})
 
     async def async_leave(self) -> None:
-        """Give the lease and all shares back for good, after the last caller has its answer.
+        """Release the lease and all shares, after the last response was sent.
 
-        Drains in this availability zone wait for every process that may still send. One that
-        ended without a word would hold them until the platform says that its instance is
-        terminated, and after a mere restart under the same id the platform never says so.
+        Drains in this availability zone wait for every process that may still send. A process
+        that ends without leaving would block them until the platform lists its instance as
+        terminated, which never happens if only the process restarts.
         """
         self.leaving = True
         if not self.joined or not is_done_sending(self.node.state):
@@ -138,15 +138,15 @@
         )
         await self.node.writer.async_write(body, timeout_s=LEAVE_TIMEOUT_S)
 
-    def _tell_lease(self, sent_ms: int) -> None:
+    def _report_lease(self, sent_ms: int) -> None:
         now_ms = monotonic_ms()
         if not self.joined:
-            self.node.take(LeaseRefused(now_ms=now_ms))
+            self.node.handle_event(LeaseRefused(now_ms=now_ms))
             return
         lease_ms = self.node.settings.routing.lease_ms
-        self.node.take(LeaseGranted(now_ms=now_ms, sent_ms=sent_ms, lease_ms=lease_ms))
+        self.node.handle_event(LeaseGranted(now_ms=now_ms, sent_ms=sent_ms, lease_ms=lease_ms))
 
-    def _join(self) -> EntryJoin:
+    def _make_join(self) -> EntryJoin:
         settings = self.node.settings
         return EntryJoin(
             instance=settings.instance.id,
@@ -156,7 +156,7 @@
             lease_ms=settings.routing.lease_ms,
         )
 
-    def _renewal(self) -> EntryRenew:
+    def _make_renewal(self) -> EntryRenew:
         return EntryRenew(
             instance=self.node.settings.instance.id,
             incarnation=self.node.incarnation,
@@ -165,6 +165,6 @@
         )
 
     async def async_acknowledge_shares(self) -> None:
-        """Renew at once when others wait for this process before their shares may grow."""
+        """Renew immediately if peers can't raise their shares before this process acknowledges."""
         if is_acknowledgement_due(self.node.state):
-            await self.async_hold_lease()
+            await self.async_renew_lease()
--- a/heatherkeel/entry/duties_health.py
+++ b/heatherkeel/entry/duties_health.py
@@ -1,4 +1,4 @@
-"""Reports what connections show: targets that fail, and failed ones that answer again."""
+"""Probes targets and reports those that fail or have recovered."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 from heatherkeel.requests.const import EJECT_AFTER_FAILURES
 from heatherkeel.waves.models import Returned
 
-from .const import OBSERVE_AGAIN_MS, WRITE_TIMEOUT_S
+from .const import PROBE_RETRY_MS, WRITE_TIMEOUT_S
 from .duties_listing import InstanceListing
 from .node import Node
 from .probes import async_probe
-from .turns import Turns
+from .takeover import TakeoverSchedule
 
 
 class HealthObserver:
-    """Probes what is in doubt, and tells the log what it found; the fold weighs the witnesses."""
+    """Probes suspect instances and records the results; the fold combines several observers."""
 
     def __init__(self, *, node: Node, listing: InstanceListing) -> None:
         self.node = node
         self.listing = listing
-        self.turns = Turns(takeover_ms=0, retry_ms=OBSERVE_AGAIN_MS)
+        self.schedule = TakeoverSchedule(takeover_ms=0, retry_ms=PROBE_RETRY_MS)
 
     async def async_observe(self) -> None:
-        """Probe every instance in doubt, side by side."""
+        """Probe all suspect instances concurrently."""
         await self.node.follower.caught_up.wait()
-        doubtful = {
+        suspects = {
             f"{name}:{self.node.state.fleet.pools.instances[name].status}": name
-            for name in find_doubtful(self.node.state)
+            for name in find_suspects(self.node.state)
         }
-        # Each process speaks for itself here: the fold wants several witnesses, so rank is 0.
-        due = self.turns.choose(doubtful, rank=0, now_ms=monotonic_ms())
+        # The fold needs reports of several observers, so each process acts as rank 0.
+        due = self.schedule.choose(suspects, rank=0, now_ms=monotonic_ms())
         async with trio.open_nursery() as nursery:
             for key in due:
-                nursery.start_soon(partial(self._async_probe, doubtful[key]))
+                nursery.start_soon(partial(self._async_probe, suspects[key]))
 
     async def _async_probe(self, name: str) -> None:
         address = self.node.state.fleet.pools.instances[name].address
-        answers = await async_probe(address)
+        is_healthy = await async_probe(address)
         instance = self.node.state.fleet.pools.instances.get(name)
         if instance is None:
             return
@@ -52,15 +52,15 @@
             name,
             instance,
             self.listing.by_id.get(name),
-            answers=answers,
+            is_healthy=is_healthy,
             observer=self.node.settings.instance.id,
         )
         if report is not None:
             await self.node.writer.async_write(report, timeout_s=WRITE_TIMEOUT_S)
 
 
-def find_doubtful(node: NodeState) -> list[str]:
-    """Return the failed instances that no drain repairs, and those that fail requests here."""
+def find_suspects(node: NodeState) -> list[str]:
+    """Return the failed instances that have no drain, and those whose requests fail here."""
     failed = [
         name
         for name, instance in node.fleet.pools.instances.items()
@@ -79,13 +79,13 @@
     instance: Instance,
     line: ListedInstance | None,
     *,
-    answers: bool,
+    is_healthy: bool,
     observer: str,
 ) -> RecordBody | None:
-    """Return what a probe gives cause to record, if anything."""
-    if instance.status is InstanceStatus.SERVING and not answers:
+    """Return the record that follows from a probe's result, or None."""
+    if instance.status is InstanceStatus.SERVING and not is_healthy:
         return InstanceObserved(instance=name, health=Health.FAILED, observer=observer)
-    if instance.status is not InstanceStatus.FAILED or not answers or line is None:
+    if instance.status is not InstanceStatus.FAILED or not is_healthy or line is None:
         return None
     if line.state is not ListedState.LIVE:
         return None
--- a/heatherkeel/entry/duties_listing.py
+++ b/heatherkeel/entry/duties_listing.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of instances, and tells the log what it shows for sure."""
+"""Reads the platform's list of instances and records its changes in the log."""
 
 from __future__ import annotations
 
@@ -26,42 +26,42 @@
 
 from .const import RETRY_MS, TAKEOVER_MS, WORKER_ROLE, WRITE_TIMEOUT_S
 from .node import Node
-from .turns import Turns, rank_of
+from .takeover import TakeoverSchedule, rank_of
 
 _LOGGER = logging.getLogger(__name__)
 
 
 class InstanceListing:
-    """The platform's list as last read; it lags, so only what can't be outdated is told."""
+    """The platform's list as last read; it lags, so only facts that stay true are reported."""
 
     def __init__(self, *, node: Node) -> None:
         self.node = node
         self.by_id: dict[str, ListedInstance] = {}
-        self.turns = Turns(takeover_ms=TAKEOVER_MS, retry_ms=RETRY_MS)
+        self.schedule = TakeoverSchedule(takeover_ms=TAKEOVER_MS, retry_ms=RETRY_MS)
 
     async def async_read(self) -> None:
-        """Read the list: note who is leaving, and report what the log doesn't know."""
+        """Read the list, update the router, and report what the log doesn't have yet."""
         match await self.node.client.async_list_instances():
             case Ok(listed):
-                self._take({instance.id: instance for instance in listed.instances})
+                self._apply({instance.id: instance for instance in listed.instances})
                 await self._async_report()
             case Err(error):
                 _LOGGER.warning("list: %s", error.detail, extra={"event": "list_failed"})
 
-    def _take(self, lines: dict[str, ListedInstance]) -> None:
-        """Tell the router what changed: who leaves, is live again, or is no longer listed."""
+    def _apply(self, lines: dict[str, ListedInstance]) -> None:
+        """Notify the router of targets that are leaving, live again or no longer listed."""
         now_ms = monotonic_ms()
         routing = self.node.state.local.routing
         for name in self.by_id.keys() - lines.keys():
-            self.node.take(TargetGone(now_ms=now_ms, target=name))
+            self.node.handle_event(TargetGone(now_ms=now_ms, target=name))
         for name, line in lines.items():
             target = routing.targets.get(name)
-            held_back = target is not None and (target.leaving or target.gone)
+            is_withheld = target is not None and (target.leaving or target.gone)
             if line.state is not ListedState.LIVE and name not in routing.leaving:
                 source = LeavingSource.PLATFORM_LIST
-                self.node.take(TargetLeaving(now_ms=now_ms, target=name, source=source))
-            elif line.state is ListedState.LIVE and (held_back or name in routing.leaving):
-                self.node.take(TargetLive(now_ms=now_ms, target=name))
+                self.node.handle_event(TargetLeaving(now_ms=now_ms, target=name, source=source))
+            elif line.state is ListedState.LIVE and (is_withheld or name in routing.leaving):
+                self.node.handle_event(TargetLive(now_ms=now_ms, target=name))
         self.by_id = lines
 
     async def _async_report(self) -> None:
@@ -70,7 +70,7 @@
         own_id = self.node.settings.instance.id
         reports = dict(find_reports(fleet, self.by_id, observer=own_id))
         rank = rank_of(fleet, own_id, now_ms=self.node.clock.now_ms())
-        due = self.turns.choose(reports, rank=rank, now_ms=monotonic_ms())
+        due = self.schedule.choose(reports, rank=rank, now_ms=monotonic_ms())
         async with trio.open_nursery() as nursery:
             for key in due:
                 nursery.start_soon(self._async_write, reports[key])
@@ -82,7 +82,7 @@
 def find_reports(
     fleet: FleetState, listed: dict[str, ListedInstance], *, observer: str
 ) -> Iterator[tuple[str, RecordBody]]:
-    """Yield the records that the list gives cause for, each with a key of the work it is."""
+    """Yield the records that follow from the list, each with a key that identifies it."""
     for line in listed.values():
         if line.role == WORKER_ROLE:
             yield from _report_worker(fleet, line, observer)
@@ -100,8 +100,7 @@
         return
     if line.state is ListedState.TERMINATED:
         yield f"gone:{line.id}", InstanceGone(instance=line.id, boot_id=instance.boot_id)
-    # The list lags: it may still show an earlier boot as down that has long been replaced. Such
-    # a line says nothing about the boot that serves now.
+    # The list lags and may show an earlier boot as down, which doesn't concern the current one.
     is_current = line.boot_id == instance.boot_id and instance.status is InstanceStatus.SERVING
     if line.state is ListedState.DOWN and is_current:
         body = InstanceObserved(
@@ -113,9 +112,8 @@
 def _report_entry_gone(fleet: FleetState, line: ListedInstance) -> Iterator[tuple[str, RecordBody]]:
     """Report every incarnation of a terminated entry instance as gone.
 
-    The platform never starts an instance again under the id of a terminated one, so the lag of
-    the list can only make this late, never wrong. `down` or absence prove nothing: the process
-    may be cut off and go on serving.
+    The platform doesn't reuse the id of a terminated instance, so a lagging list only delays
+    this report. `down` or absence don't suffice: the process may be partitioned and still serve.
     """
     for entry in all_incarnations(fleet.membership):
         if entry.instance == line.id:
--- a/heatherkeel/entry/front.py
+++ b/heatherkeel/entry/front.py
@@ -1,4 +1,4 @@
-"""The callers' side: takes a request through the reducer, and carries out what it decides."""
+"""Serves callers: passes each request to the reducer and carries out the effects."""
 
 from __future__ import annotations
 
@@ -38,36 +38,36 @@
 )
 from heatherkeel.requests.reasons import Outcome
 
-from .answers import async_refuse, async_replay
 from .claim_records import ClaimRecords
 from .connections import TargetConnections
 from .const import IDEMPOTENT_METHODS, REQUEST_ID_HEADER
 from .exchanges import Exchange, Exchanges
 from .node import Node
-from .reading import InputFault, ReadRequest, async_read, fingerprint, outgoing_headers
-from .sender import Attempt, OutgoingRequest, Sender, async_pass_on
+from .reading import InvalidInput, ReadRequest, async_read, fingerprint, outgoing_headers
+from .responses import async_refuse, async_replay
+from .sender import Attempt, OutgoingRequest, Sender, async_send_buffered
 
 _LOGGER = logging.getLogger(__name__)
 
 
 @dataclass(kw_only=True)
 class Call:
-    """One caller's request while it is served."""
+    """The state of one caller's request while it is served."""
 
     exchange: Exchange
     outgoing: OutgoingRequest
     idempotent: bool
     receive: Receive
-    answer: AsgiSend
-    gone: bool = False
+    send: AsgiSend
+    caller_gone: bool = False
     attempt: Attempt | None = None
-    scope: trio.CancelScope = field(default_factory=trio.CancelScope)
+    attempt_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     ended: bool = False
-    watch: trio.CancelScope = field(default_factory=trio.CancelScope)
+    watch_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
 
-class Front:
-    """The ASGI application that callers see."""
+class ProxyApp:
+    """The ASGI application for callers' requests to targets."""
 
     def __init__(self, *, node: Node) -> None:
         self.node = node
@@ -76,11 +76,11 @@
         self.connections = TargetConnections()
         self.sender = Sender(connections=self.connections)
         self.nursery: trio.Nursery | None = None
-        self.unwatched: list[Call] = []
+        self.unwatched_calls: list[Call] = []
         node.subscribe(CloseConnections, self.connections.retire)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin to write claims, and to watch callers."""
+        """Start the background writes of claims and the detection of disconnected callers."""
         self.nursery = nursery
         self.claims.start(nursery)
 
@@ -102,23 +102,23 @@
             match await async_read(self.node.state.local.routing, request):
                 case Ok(read):
                     await self._async_exchange(exchange, request, read, send)
-                case Err(fault):
-                    await self._async_refuse_input(exchange, fault, send)
+                case Err(invalid):
+                    await self._async_refuse_input(exchange, invalid, send)
         except ClientGoneError:
             return
         finally:
             self.exchanges.close(exchange)
 
     async def _async_refuse_input(
-        self, exchange: Exchange, fault: InputFault, send: AsgiSend
+        self, exchange: Exchange, invalid: InvalidInput, send: AsgiSend
     ) -> None:
         refused = InputRefused(
             now_ms=monotonic_ms(),
             request_id=exchange.request_id,
-            reason=fault.reason,
-            detail=fault.detail,
+            reason=invalid.reason,
+            detail=invalid.detail,
         )
-        self.node.take(refused)
+        self.node.handle_event(refused)
         effect = await exchange.async_next()
         assert isinstance(effect, Refuse)
         await async_refuse(send, effect)
@@ -138,14 +138,14 @@
             raw_target=request.raw_target,
             headers=outgoing_headers(request.headers),
             body=read.body,
-            keep_answer=keyed,
+            record_response=keyed,
         )
         call = Call(
             exchange=exchange,
             outgoing=outgoing,
             idempotent=idempotent,
             receive=request.receive,
-            answer=send,
+            send=send,
         )
         arrived = RequestArrived(
             now_ms=monotonic_ms(),
@@ -156,102 +156,110 @@
             fingerprint=fingerprint(outgoing) if keyed else "",
             deadline_ms=options.deadline_ms,
         )
-        self.node.take(arrived)
-        self.unwatched.append(call)
+        self.node.handle_event(arrived)
+        self.unwatched_calls.append(call)
         try:
-            await self._async_carry_out(call)
+            await self._async_carry_out_effects(call)
         finally:
             call.ended = True
-            call.watch.cancel()
+            call.watch_scope.cancel()
 
     async def async_watch_callers(self) -> None:
-        """Begin to watch the callers of requests that were not answered since the last time.
+        """Start a disconnect watcher for each request that is still open; called by a timer.
 
-        A task for every caller costs more than all decisions on its request, and most requests
-        are answered before it would have anything to tell.
+        Most requests end before the timer fires, which saves a task for each of them.
         """
         assert self.nursery is not None
-        calls, self.unwatched = self.unwatched, []
+        calls, self.unwatched_calls = self.unwatched_calls, []
         for call in calls:
             if not call.ended:
                 self.nursery.start_soon(self._async_watch_caller, call)
 
     async def _async_watch_caller(self, call: Call) -> None:
-        """Notice that the caller hung up.
+        """Handle a disconnect of the caller.
 
-        What may be sent again is stopped, and its connection closed, so that the late answer can
-        reach nobody else. What may run only once goes on, so that a repeat finds its outcome.
+        An idempotent request is cancelled and its connection closed, so that a late response
+        can't reach another caller. Any other request continues, so that a retry finds its
+        outcome.
         """
-        with call.watch:
+        with call.watch_scope:
             while (await call.receive())["type"] != "http.disconnect":
                 continue
             if call.ended:
                 return
-            call.gone = True
-            self.node.take(CallerGone(now_ms=monotonic_ms(), request_id=call.exchange.request_id))
+            call.caller_gone = True
+            self.node.handle_event(
+                CallerGone(now_ms=monotonic_ms(), request_id=call.exchange.request_id)
+            )
             if call.idempotent:
-                call.scope.cancel()
+                call.attempt_scope.cancel()
 
-    async def _async_carry_out(self, call: Call) -> None:
-        """Carry out the effects of one request until its final answer."""
+    async def _async_carry_out_effects(self, call: Call) -> None:
+        """Carry out the effects of one request until its final response."""
         while True:
             match await call.exchange.async_next():
                 case Send() as effect:
                     await self._async_attempt(call, effect)
                 case PassOn() if call.attempt is not None:
                     is_head = call.outgoing.method == "HEAD"
-                    return await async_pass_on(call.answer, call.attempt, is_head=is_head)
+                    return await async_send_buffered(call.send, call.attempt, is_head=is_head)
                 case Refuse() as effect:
                     if effect.outcome is Outcome.UNKNOWN:
                         _log_unknown(call, effect)
-                    return await async_refuse(call.answer, effect)
+                    return await async_refuse(call.send, effect)
                 case Replay() as effect:
-                    return await async_replay(call.answer, effect)
+                    return await async_replay(call.send, effect)
                 case AbortAnswer():
-                    # Ending without the rest makes the server close the caller's connection.
+                    # The server closes the connection of a response that ends early.
                     return None
 
     async def _async_attempt(self, call: Call, effect: Send) -> None:
         started_ms = monotonic_ms()
         call.attempt = None
-        call.scope = trio.CancelScope()
-        if call.gone and call.idempotent:
-            call.scope.cancel()
-        report = partial(self._report, call, effect, started_ms)
-        with call.scope:
+        call.attempt_scope = trio.CancelScope()
+        if call.caller_gone and call.idempotent:
+            call.attempt_scope.cancel()
+        report = partial(self._report_attempt, call, effect, started_ms)
+        with call.attempt_scope:
             try:
-                call.attempt = await self.sender.async_send(call.outgoing, effect, call.answer)
+                call.attempt = await self.sender.async_send(call.outgoing, effect, call.send)
             except trio.Cancelled:
                 report(AttemptResult.CALLER_GONE)
                 raise
             report(call.attempt.result)
 
-    def _report(self, call: Call, effect: Send, started_ms: int, result: AttemptResult) -> None:
-        """Tell the reducer; the connection is idle again or closed by now."""
+    def _report_attempt(
+        self, call: Call, effect: Send, started_ms: int, result: AttemptResult
+    ) -> None:
+        """Report the attempt to the reducer after its connection is idle or closed."""
         now_ms = monotonic_ms()
         attempt = call.attempt
-        whole = attempt is not None and result is AttemptResult.WHOLE_ANSWER
-        kept = attempt.recorded() if attempt and whole and call.outgoing.keep_answer else None
+        is_complete = attempt is not None and result is AttemptResult.WHOLE_ANSWER
+        recorded = (
+            attempt.recorded()
+            if attempt and is_complete and call.outgoing.record_response
+            else None
+        )
         ended = AttemptEnded(
             now_ms=now_ms,
             request_id=call.exchange.request_id,
             target=effect.target,
             result=result,
             latency_ms=now_ms - started_ms,
-            server_error=attempt is not None and whole and attempt.status >= 500,
-            answer=kept,
+            server_error=attempt is not None and is_complete and attempt.status >= 500,
+            answer=recorded,
         )
-        # First, or the slot that the attempt frees goes to a request that waits: new work for
-        # a target that has just said that it takes none.
+        # Must precede AttemptEnded, which frees the slot: a waiting request would otherwise be
+        # sent to a target that has just announced its stop.
         if attempt is not None and attempt.leaving:
-            self.node.take(
+            self.node.handle_event(
                 TargetLeaving(now_ms=now_ms, target=effect.target, source=LeavingSource.TARGET)
             )
-        self.node.take(ended)
+        self.node.handle_event(ended)
 
 
 def _log_unknown(call: Call, refusal: Refuse) -> None:
-    """Tell operators which request may have run: somebody has to look at the target."""
+    """Log a request that may have run; an operator has to check the target."""
     request_id = dict(call.outgoing.headers).get(REQUEST_ID_HEADER.encode(), b"")
     extra = {"event": "outcome_unknown", "request_id": request_id.decode("latin-1")}
     _LOGGER.warning("outcome unknown: %s", refusal.reason, extra=extra)
--- a/heatherkeel/entry/node.py
+++ b/heatherkeel/entry/node.py
@@ -1,4 +1,4 @@
-"""Holds the state of one entry process and carries every event through the reducer."""
+"""State of one entry process; every event passes through its reducer."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Node:
-    """The parts of one entry process that decide, write and read."""
+    """The reducer state of one entry process, with its log reader, log writer and timers."""
 
     def __init__(self, *, settings: EntrySettings) -> None:
         self.settings = settings
@@ -64,14 +64,14 @@
             clock=self.clock,
             wait_ms=settings.platform.poll_wait_ms,
             next_offset=lambda: self.state.fleet.next_offset,
-            take=self.take_record,
+            take=self.apply_record,
             rebuild=self.async_rebuild,
         )
         self.store = SnapshotStore(client=self.client, stream=settings.platform.stream)
         self.snapshots = self._make_snapshot_writer()
         self.recent = RecentRecords()
         self.started_from_peer = False
-        self.hearers: dict[type[Effect], list[Callable[[Any], None]]] = {}
+        self.subscribers: dict[type[Effect], list[Callable[[Any], None]]] = {}
         self.subscribe(Settled, self.writer.settle)
         self.subscribe(Settled, self.snapshots.hear_settled)
         self.subscribe(Duplicate, self.writer.hear_duplicate)
@@ -95,12 +95,12 @@
             ),
         )
 
-    def subscribe(self, effect_type: type[EffectT], hearer: Callable[[EffectT], None]) -> None:
-        """Call `hearer` with every effect of exactly this type."""
-        self.hearers.setdefault(effect_type, []).append(hearer)
+    def subscribe(self, effect_type: type[EffectT], subscriber: Callable[[EffectT], None]) -> None:
+        """Call `subscriber` with every effect of exactly this type, not of its subclasses."""
+        self.subscribers.setdefault(effect_type, []).append(subscriber)
 
     async def async_rebuild(self) -> bool:
-        """Replace a state that the log can't continue by a newer snapshot; False if none is."""
+        """Load a newer snapshot if the log can't continue the state; False if there is none."""
         loaded = await self.store.async_load_newest(above=self.state.fleet.next_offset)
         if isinstance(loaded, Err) or loaded.ok_value is None:
             return False
@@ -108,7 +108,7 @@
         return True
 
     def restore(self, fleet: FleetState) -> None:
-        """Put another state in force; never an older one, as nothing accepted may revert."""
+        """Replace the state, unless the new one is older: an accepted record must not be undone."""
         if fleet.next_offset < self.state.fleet.next_offset:
             return
         self.state.fleet = fleet
@@ -117,25 +117,25 @@
         _LOGGER.info(
             "state restored", extra={"event": "state_restored", "next_offset": fleet.next_offset}
         )
-        self.take(FleetRestored(now_ms=monotonic_ms()))
+        self.handle_event(FleetRestored(now_ms=monotonic_ms()))
 
-    def take_record(self, record: LogRecord) -> None:
-        """Fold one record of the log."""
+    def apply_record(self, record: LogRecord) -> None:
+        """Fold one record that was read from the log."""
         self.recent.add(record)
-        self.take(record)
+        self.handle_event(record)
 
-    def take_relayed(self, record: LogRecord) -> None:
-        """Fold a record that a peer has read from the log."""
+    def apply_relayed_record(self, record: LogRecord) -> None:
+        """Fold a record that a peer has read from the log and relayed."""
         self.follower.note_folded(record)
         self.clock.hear_record(record.at_ms)
-        self.take_record(record)
+        self.apply_record(record)
 
-    def take(self, event: Event) -> list[Effect]:
-        """Reduce one event, tell the effects to those who subscribed, and return them all."""
+    def handle_event(self, event: Event) -> list[Effect]:
+        """Reduce one event, pass its effects to their subscribers, and return all effects."""
         effects = reduce(self.state, event)
         for effect in effects:
-            for hearer in self.hearers.get(type(effect), ()):
-                hearer(effect)
+            for subscriber in self.subscribers.get(type(effect), ()):
+                subscriber(effect)
         return effects
 
 
--- a/heatherkeel/entry/process.py
+++ b/heatherkeel/entry/process.py
@@ -1,4 +1,4 @@
-"""Puts the parts of an entry process together, and runs them until it is told to stop."""
+"""Assembles an entry process and runs it until it is stopped."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 from heatherkeel.requests.events import QueueTick
 from heatherkeel.settings.models import EntrySettings
 
-from .const import CLOSE_INTERVAL_MS, WATCH_INTERVAL_MS, WRITE_TIMEOUT_S
+from .const import CALLER_WATCH_INTERVAL_MS, CONNECTION_CLOSE_INTERVAL_MS, WRITE_TIMEOUT_S
 from .duties import Duties
-from .front import Front
+from .front import ProxyApp
 from .node import Node
 from .start import NodeStart
-from .stopping import async_stop_callers
+from .stopping import async_finish_callers
 
 _LOGGER = logging.getLogger(__name__)
 
 
 class EntryProcess:
-    """The servers and the node of one entry process."""
+    """The node, HTTP servers and peer links of one entry process."""
 
     def __init__(self, *, settings: EntrySettings) -> None:
         self.settings = settings
@@ -43,42 +43,42 @@
         self.metrics = Metrics()
         self.links = PeerLinks(
             node=self.node.state,
-            handle_event=self.node.take,
-            apply_relayed_record=self.node.take_relayed,
+            handle_event=self.node.handle_event,
+            apply_relayed_record=self.node.apply_relayed_record,
             log_answered_at_ms=lambda: self.node.follower.heard_at_ms,
             recent=self.node.recent,
             bind=settings.peers.bind,
             seeds=settings.peers.seeds,
         )
-        self.front = Front(node=self.node)
+        self.proxy = ProxyApp(node=self.node)
         self.duties = Duties(node=self.node)
-        timed = TimedApp(inner=self.front, metrics=self.metrics)
+        timed_app = TimedApp(inner=self.proxy, metrics=self.metrics)
         self.http = HttpServer(
-            app=timed,
+            app=timed_app,
             bind=settings.http.bind,
             on_headers_too_large=self.metrics.count_headers_too_large,
         )
-        pages = MonitoringApp(
+        admin_app = MonitoringApp(
             inner=AdminApp(node=self.node, on_refusal=self.metrics.count_admin_refusal),
             metrics=self.metrics,
             readiness=self.readiness,
         )
         self.admin = HttpServer(
-            app=pages,
+            app=admin_app,
             bind=settings.admin.bind,
             certfile=settings.admin.certfile,
             keyfile=settings.admin.keyfile,
         )
         self.gauges = NodeGauges(
-            node=self.node, readiness=self.readiness, in_progress=lambda: timed.in_progress
+            node=self.node, readiness=self.readiness, in_progress=lambda: timed_app.in_progress
         )
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Open the admin port, read the log to its end, and only then take callers."""
+        """Open the admin port, catch up with the log, and then accept callers."""
         count_effects(self.node, self.metrics)
         self.metrics.register([self.gauges])
         self.node.writer.start(nursery)
-        self.front.start(nursery)
+        self.proxy.start(nursery)
         self.node.snapshots.start(nursery)
         self.links.start(nursery)
         await self.admin.start(nursery)
@@ -90,9 +90,9 @@
         JobsDuty(node=self.node).start(nursery)
         self._subscribe_timers()
         self.node.timers.start(nursery)
-        # A drain waits for the entry instances that the fold knows when it starts. Callers that
-        # came before would be cut: nobody waits for this process when their target is stopped.
-        await self.duties.waited_for.wait()
+        # A drain waits only for entry instances that the fold knows when it starts. Earlier
+        # requests of this process could be cut off by the stop of their target.
+        await self.duties.included_in_drains.wait()
         await self.http.start(nursery)
         _LOGGER.info(
             "listening",
@@ -110,13 +110,13 @@
         )
         self.node.timers.subscribe(
             name="callers",
-            interval_ms=WATCH_INTERVAL_MS,
-            callback=self.front.async_watch_callers,
+            interval_ms=CALLER_WATCH_INTERVAL_MS,
+            callback=self.proxy.async_watch_callers,
         )
         self.node.timers.subscribe(
             name="connections",
-            interval_ms=CLOSE_INTERVAL_MS,
-            callback=self.front.connections.async_close_retired,
+            interval_ms=CONNECTION_CLOSE_INTERVAL_MS,
+            callback=self.proxy.connections.async_close_retired,
         )
         self.node.timers.subscribe(
             name="snapshots",
@@ -128,23 +128,23 @@
         )
 
     async def _async_tick_queues(self) -> None:
-        """Let the reducer see that time has passed, while something waits for it."""
+        """Send a tick to the reducer while requests or ejected targets wait for a time."""
         routing = self.node.state.local.routing
         if routing.deadlines or routing.ejected:
-            self.node.take(QueueTick(now_ms=monotonic_ms()))
+            self.node.handle_event(QueueTick(now_ms=monotonic_ms()))
 
     async def close(self) -> None:
-        """Stop in order; the admin port answers to the end, so that the stop can be watched."""
-        await async_stop_callers(
+        """Stop gracefully; the admin port closes last, so that the stop can be monitored."""
+        await async_finish_callers(
             http=self.http, readiness=self.readiness, fleet=self.node.state.fleet
         )
-        await self.front.claims.async_finish(timeout_s=WRITE_TIMEOUT_S)
+        await self.proxy.claims.async_finish(timeout_s=WRITE_TIMEOUT_S)
         await self.duties.async_leave()
         await self.admin.close()
 
     async def async_close_connections(self) -> None:
-        """Close what was opened to targets and to the platform."""
-        await self.front.close()
+        """Close the connections to targets and to the platform."""
+        await self.proxy.close()
         await self.node.client.close()
 
 
@@ -164,7 +164,6 @@
                 await process.close()
             nursery.cancel_scope.cancel()
     finally:
-        # The library waits for its open sockets when the interpreter ends; a broken invariant
-        # must end the process.
+        # An open socket would keep the interpreter from exiting after an error.
         process.links.close()
     await process.async_close_connections()
--- a/heatherkeel/gateway/app.py
+++ b/heatherkeel/gateway/app.py
@@ -1,4 +1,4 @@
-"""The application that callers talk to."""
+"""The ASGI application of the job API."""
 
 from __future__ import annotations
 
@@ -15,22 +15,21 @@
     parse_request,
 )
 
-from .exchange import Exchange, GatewayParts
+from .exchange import Exchange, GatewayContext
 
 _LOGGER = logging.getLogger(__name__)
 CLOSE_HEADER: Final = (b"connection", b"close")
 
 
-class CallersApp:
-    """Takes jobs in, cancels them, and tells how they are.
+class JobApiApp:
+    """Accepts and cancels jobs, and returns their states.
 
-    While this process shouldn't get callers, since it is cut off from the store or is stopping, it
-    closes each connection with its answer. The balancer sends new connections elsewhere by then,
-    but an open one stays: its caller would meet the same refusals for as long as the cut lasts.
+    A process that is not ready closes each connection after its response. The load balancer sends
+    new connections elsewhere, but open ones would otherwise keep their callers at this process.
     """
 
-    def __init__(self, *, parts: GatewayParts) -> None:
-        self.parts = parts
+    def __init__(self, *, context: GatewayContext) -> None:
+        self.context = context
 
     async def __call__(self, scope: Message, receive: Receive, send: Send) -> None:
         """Serve one ASGI scope."""
@@ -38,19 +37,19 @@
             return await async_run_lifespan(receive, send)
         if scope["type"] != "http":
             return None
-        began = time.monotonic()
+        started_s = time.monotonic()
 
         async def async_send(message: Message) -> None:
-            if message["type"] == "http.response.start" and not self.parts.takes_callers():
+            if message["type"] == "http.response.start" and not self.context.accepts_callers():
                 message["headers"] = [*message["headers"], CLOSE_HEADER]
             await send(message)
 
         exchange = Exchange(
-            parts=self.parts, request=parse_request(scope, receive), send=async_send
+            context=self.context, request=parse_request(scope, receive), send=async_send
         )
         try:
             await exchange.async_serve()
         except ClientGoneError:
             _LOGGER.info("caller left", extra={"event": "caller_gone", "path": scope["path"]})
-        self.parts.metrics.observe(method=scope["method"], seconds=time.monotonic() - began)
+        self.context.metrics.observe(method=scope["method"], seconds=time.monotonic() - started_s)
         return None
--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -14,8 +14,8 @@
 from heatherkeel.directory.layout_reader import LayoutReader
 from heatherkeel.dispatch.metrics import DispatchMetrics
 from heatherkeel.dispatch.owner import PartitionOwner
-from heatherkeel.gateway.app import CallersApp
-from heatherkeel.gateway.exchange import GatewayParts
+from heatherkeel.gateway.app import JobApiApp
+from heatherkeel.gateway.exchange import GatewayContext
 from heatherkeel.gateway.lookup import Lookup
 from heatherkeel.gateway.metrics import GatewayMetrics
 from heatherkeel.helpers.server import HttpServer
@@ -112,13 +112,13 @@
             store_heard_ms=self._store_heard_ms,
         )
         self.callers = HttpServer(
-            app=CallersApp(
-                parts=GatewayParts(
+            app=JobApiApp(
+                context=GatewayContext(
                     store=self.store,
                     directory=self.directory.state,
                     lookup=self.lookup,
                     metrics=self.metrics,
-                    takes_callers=self.status.is_ready,
+                    accepts_callers=self.status.is_ready,
                 )
             ),
             bind=settings.listen.callers,
--- a/tests/gateway/calling.py
+++ b/tests/gateway/calling.py
@@ -1,12 +1,12 @@
-"""Calls of one caller to the application, without a server between them."""
+"""Helpers that call the ASGI application directly, without a server."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from heatherkeel.directory.directory import DirectoryState
-from heatherkeel.gateway.app import CallersApp
-from heatherkeel.gateway.exchange import GatewayParts
+from heatherkeel.gateway.app import JobApiApp
+from heatherkeel.gateway.exchange import GatewayContext
 from heatherkeel.gateway.lookup import Lookup
 from heatherkeel.gateway.metrics import GatewayMetrics
 from heatherkeel.ownership.partitions import Layout
@@ -20,24 +20,26 @@
 JOB_PATH = "/q/00000000000000aa"
 
 
-def make_app(store: StoreClient, links: QuestionLinks, *, takes_callers: bool = True) -> CallersApp:
-    """Return the application of a process that knows one queue, with one partition."""
-    parts = GatewayParts(
+def make_app(
+    store: StoreClient, links: QuestionLinks, *, accepts_callers: bool = True
+) -> JobApiApp:
+    """Return an application with one queue in one partition."""
+    context = GatewayContext(
         store=store,
         directory=DirectoryState(
             config=Configuration(version=1, queues=[QUEUE]), layout=Layout(shares={"portal": (0,)})
         ),
         lookup=Lookup(store=store, holders=FakeHolderCache(store=store), links=links),
         metrics=GatewayMetrics(),
-        takes_callers=lambda: takes_callers,
+        accepts_callers=lambda: accepts_callers,
     )
-    return CallersApp(parts=parts)
+    return JobApiApp(context=context)
 
 
 async def async_call(
-    app: CallersApp, method: str, *, deadline_ms: int, body: bytes = b""
+    app: JobApiApp, method: str, *, deadline_ms: int, body: bytes = b""
 ) -> dict[str, Any]:
-    """Make a call about one job; returns the head of the answer."""
+    """Send a request for one job; returns the start message of the response."""
     deadline = str(deadline_ms).encode()
     scope = {
         "type": "http",
--- a/tests/gateway/test_connections.py
+++ b/tests/gateway/test_connections.py
@@ -1,4 +1,4 @@
-"""Callers whose process can't serve them come back through the balancer."""
+"""Tests of the connections of callers to a process that is not ready."""
 
 from __future__ import annotations
 
@@ -17,66 +17,64 @@
 DEADLINE_MS = 3000
 
 
-class SilentLinks(FakeLinks):
-    """Owners that don't answer: each question takes its whole time."""
+class UnresponsiveLinks(FakeLinks):
+    """Unresponsive owners: each question takes its whole timeout."""
 
     async def async_ask(
         self, address: str, question: Question, *, timeout_s: float = 0.5
     ) -> Answer | None:
-        """Wait in vain."""
+        """Wait for the timeout."""
         await trio.sleep(timeout_s)
         return None
 
 
-class KnowingLinks(FakeLinks):
+class ActiveJobLinks(FakeLinks):
     """Owners that know every job."""
 
     async def async_ask(
         self, address: str, question: Question, *, timeout_s: float = 0.5
     ) -> Answer | None:
-        """Tell that the job runs."""
+        """Return that the job is active."""
         return JobAnswer(state="active")
 
 
-class SilentStore(FakeStore):
-    """A store that doesn't answer."""
+class UnresponsiveStore(FakeStore):
+    """An unresponsive store."""
 
     async def async_read_all_newest(self, topic: str, partition: int) -> Any:
-        """Wait for longer than any caller does."""
+        """Wait for longer than any deadline."""
         await trio.sleep(60)
 
 
-def ask(links: FakeLinks, *, takes_callers: bool) -> tuple[int, bool, float]:
-    """Ask for a job; returns the status, whether the connection is closed, and the seconds."""
-    app = make_app(SilentStore(down=set()), links, takes_callers=takes_callers)
+def ask(links: FakeLinks, *, accepts_callers: bool) -> tuple[int, bool, float]:
+    """Query a job; returns the status, whether the connection is closed, and the seconds."""
+    app = make_app(UnresponsiveStore(down=set()), links, accepts_callers=accepts_callers)
 
     async def async_ask() -> tuple[int, bool, float]:
-        began_s = trio.current_time()
+        started_s = trio.current_time()
         head = await async_call(app, "GET", deadline_ms=DEADLINE_MS)
-        took_s = trio.current_time() - began_s
+        took_s = trio.current_time() - started_s
         return head["status"], CLOSE_HEADER in head["headers"], took_s
 
     return trio.run(async_ask, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_process_that_is_cut_off_answers_soon_and_closes_the_connection() -> None:
-    """A zone is cut off; a caller has a connection to a process there, and asks for its job.
-
-    Neither the job's owner nor the store answers. Held until its deadline on the same connection,
-    the caller would meet the same again and again, while any process elsewhere could tell.
+def test_process_that_is_not_ready_responds_soon_and_closes_the_connection() -> None:
+    """A caller must not be kept at a partitioned process until its deadline, since other
+    processes could return the job's state.
     """
-    status, is_closed, took_s = ask(SilentLinks({}), takes_callers=False)
+    status, is_closed, took_s = ask(UnresponsiveLinks({}), accepts_callers=False)
     assert (status, is_closed) == (504, True)
     assert took_s < 1.0
 
 
-def test_process_that_takes_callers_asks_for_as_long_as_they_wait() -> None:
-    """One answer of the store takes long; there is no reason to think that others fare better."""
-    status, is_closed, took_s = ask(SilentLinks({}), takes_callers=True)
+def test_ready_process_waits_until_the_deadline() -> None:
+    """A ready process must not give up before the deadline because of one slow response."""
+    status, is_closed, took_s = ask(UnresponsiveLinks({}), accepts_callers=True)
     assert (status, is_closed) == (504, False)
     assert took_s == pytest.approx(DEADLINE_MS / 1000, abs=0.3)
 
 
-def test_answers_are_given_also_by_a_process_that_is_stopping() -> None:
-    assert ask(KnowingLinks({}), takes_callers=False)[:2] == (200, True)
-    assert ask(KnowingLinks({}), takes_callers=True)[:2] == (200, False)
+def test_process_that_is_not_ready_still_returns_job_states() -> None:
+    assert ask(ActiveJobLinks({}), accepts_callers=False)[:2] == (200, True)
+    assert ask(ActiveJobLinks({}), accepts_callers=True)[:2] == (200, False)
