--- a/heatherkeel/snapshots/__init__.py
+++ b/heatherkeel/snapshots/__init__.py
@@ -1,1 +1,1 @@
-"""The state written back into the log before retention ends, and started from again."""
+"""Snapshots of the folded state, stored in the log so that an instance can start from one."""
--- a/heatherkeel/snapshots/codec.py
+++ b/heatherkeel/snapshots/codec.py
@@ -1,4 +1,4 @@
-"""Packs a state into chunks, and gives it back only if every byte is right."""
+"""Splits a compressed state into chunks, and restores it after checking its digest."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class LoadFailure(StrEnum):
-    """Why a snapshot can't be started from."""
+    """Why a snapshot can't be loaded."""
 
     DAMAGED_CHUNK = "damaged_chunk"
     MISSING_CHUNK = "missing_chunk"
@@ -29,12 +29,12 @@
 
 
 def encode_record(record: StreamRecord) -> bytes:
-    """Return the bytes of one record of the snapshot stream."""
+    """Encode one record of the snapshot stream."""
     return _ENCODER.encode(record)
 
 
 def decode_record(data: bytes) -> StreamRecord | None:
-    """Return one record of the snapshot stream; None for what is none."""
+    """Decode one record of the snapshot stream; None if the bytes are not a valid record."""
     try:
         return _DECODER.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -47,7 +47,7 @@
 
 
 def unpack(packed: bytes) -> bytes | None:
-    """Return the canonical bytes; None if they are damaged, cut or too many."""
+    """Return the canonical bytes; None if they are damaged, truncated or too large."""
     unpacker = zlib.decompressobj()
     try:
         state = unpacker.decompress(packed, MAX_STATE_BYTES)
@@ -57,7 +57,7 @@
 
 
 def cut(packed: bytes, *, offset: int) -> list[ChunkRecord]:
-    """Cut the packed state at `offset` into chunks."""
+    """Split the packed state at `offset` into chunks."""
     return [
         ChunkRecord(offset=offset, index=index, data=packed[start : start + CHUNK_BYTES])
         for index, start in enumerate(range(0, len(packed), CHUNK_BYTES))
@@ -67,10 +67,10 @@
 def load(
     manifest: ManifestRecord, chunks: Sequence[StreamRecord | None]
 ) -> Result[FleetState, LoadFailure]:
-    """Join the chunks of a manifest into the state that the fold had after its mark.
+    """Join the chunks of a manifest into the folded state after its mark.
 
-    A state with one wrong byte would decide otherwise than all other readers from then on, so
-    nothing is used before the digest of the whole is right.
+    The digest is checked before the state is used: a state with one wrong byte would decide
+    later records differently from all other readers.
     """
     claim = manifest.claim
     if len(chunks) != len(claim.chunk_offsets):
@@ -87,7 +87,7 @@
 
 
 def restore(data: bytes, manifest: ManifestRecord) -> Result[FleetState, LoadFailure]:
-    """Decode canonical bytes, and repeat what the mark itself changed in the state."""
+    """Decode canonical bytes, and apply the change that the mark itself made to the state."""
     claim = manifest.claim
     if hashlib.sha256(data).hexdigest() != claim.digest:
         return Err(LoadFailure.WRONG_DIGEST)
--- a/heatherkeel/snapshots/const.py
+++ b/heatherkeel/snapshots/const.py
@@ -5,43 +5,43 @@
 from typing import Final
 
 FORMAT: Final = 1
-"""Version of the snapshot records; a reader leaves snapshots of another one alone."""
+"""Version of the snapshot records; readers ignore snapshots of other versions."""
 
 CHUNK_BYTES: Final = 64 * 1024
-"""Packed bytes in one chunk: one append stays small beside those of the log's other users."""
+"""Packed bytes per chunk; limits the load of one append on the shared log."""
 
 MAX_STATE_BYTES: Final = 256 * 1024 * 1024
-"""Largest state that is unpacked; damaged bytes must not fill the memory."""
+"""Largest state that is unpacked, so that damaged data can't exhaust the memory."""
 
 PACK_LEVEL: Final = 3
-"""Compression level; higher ones cost more time than the bytes are worth (`snapshots.md`)."""
+"""zlib compression level; see `snapshots.md`."""
 
 MIN_MARK_INTERVAL_MS: Final = 1_000
-"""Least log time between two marks: each costs every reader one encoding of its state."""
+"""Minimum log time between two marks; at each mark every reader encodes its state."""
 
 STREAM_SUFFIX: Final = "-snapshots"
-"""The snapshot stream is named after the stream whose state it holds."""
+"""Suffix that the name of the main stream gets to form the name of its snapshot stream."""
 
 MAX_ENDORSERS: Final = 3
-"""So many other entry instances try to endorse a snapshot, one after the other."""
+"""Number of other entry instances that try to endorse a snapshot, one after another."""
 
 ENDORSE_STEP_MS: Final = 500
-"""Time that each endorser gives the one before it."""
+"""Delay between two successive endorsers."""
 
 JITTER_MS: Final = 2_000
-"""Entry instances spread their marks over this time, by a hash of their id and the offset."""
+"""Upper bound of the delay before a mark, derived from a hash of instance id and offset."""
 
 VERDICT_WAIT_S: Final = 5.0
-"""Time after a refused claim in which others endorse or refuse it."""
+"""Time that other entry instances have to endorse or refuse a rejected claim."""
 
 SCAN_RECORDS: Final = 16
-"""Records that one step of the backward scan of the snapshot stream reads."""
+"""Records read per step of the backward scan of the snapshot stream."""
 
 MAX_SCANNED_RECORDS: Final = 4_096
-"""The backward scan ends after so many records."""
+"""Maximum number of records that the backward scan reads."""
 
 APPEND_PAUSE_S: Final = 0.05
-"""Pause between two chunks: at most 20 of the several hundred appends a second are ours."""
+"""Pause between two chunks; limits the writer to 20 appends per second."""
 
 APPEND_TRIES: Final = 20
-"""Tries for one record of the snapshot stream before its snapshot is given up."""
+"""Attempts to append one record of the snapshot stream before the snapshot is abandoned."""
--- a/heatherkeel/snapshots/models.py
+++ b/heatherkeel/snapshots/models.py
@@ -15,10 +15,10 @@
 
 
 class SnapshotMark(RecordBody, frozen=True, kw_only=True):
-    """An entry instance offers to write the state as it is at this record's own offset.
+    """An entry instance offers to write a snapshot of the state at this record's own offset.
 
-    `previous_offset` is the newest mark that it knew, -1 if none: of several that offer, the
-    first one wins and the others stay quiet.
+    `previous_offset` is the newest mark that the instance knew, -1 if none. If several instances
+    offer at the same time, the first mark is accepted and the others are rejected.
     """
 
     instance: str
@@ -39,7 +39,7 @@
 
 @dataclass(kw_only=True)
 class MarkedSnapshot:
-    """A snapshot that was begun at `offset`; `digest` is what the fold itself found there."""
+    """A snapshot started at `offset`; `digest` is the one that the fold computed there."""
 
     offset: int
     digest: str
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SnapshotVerified(Effect):
-    """The fold found the claim to be true: another entry instance may endorse it."""
+    """The fold verified the claim, so another entry instance can endorse it."""
 
     mark: MarkedSnapshot
     claim: SnapshotComplete
@@ -82,7 +82,7 @@
 
 
 class ManifestRecord(msgspec.Struct, frozen=True, kw_only=True, tag="manifest"):
-    """A second entry instance's word that a snapshot is whole, and where its chunks stand."""
+    """An endorser's confirmation that a snapshot is complete, with the offsets of its chunks."""
 
     format: int
     claim: SnapshotComplete
@@ -91,7 +91,7 @@
 
 
 class RefusalRecord(msgspec.Struct, frozen=True, kw_only=True, tag="refusal"):
-    """An entry instance found another digest at `offset` than the claim says."""
+    """An entry instance computed a digest at `offset` that differs from the claimed one."""
 
     offset: Offset
     digest: Sha256
--- a/heatherkeel/snapshots/reducer.py
+++ b/heatherkeel/snapshots/reducer.py
@@ -1,4 +1,4 @@
-"""Decides who writes the next snapshot, and whether a written one is true."""
+"""Record handlers that select the author of a snapshot and verify its claim."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 @handles("snapshots.mark", SnapshotMark)
 def mark(state: FleetState, meta: RecordMeta, body: SnapshotMark) -> Result[Accepted, Rejected]:
-    """Take the digest of the state here; the first of several racing authors writes it."""
+    """Compute the digest of the current state; the first of several concurrent marks wins."""
     newest = state.snapshots.newest
     newest_offset = -1 if newest is None else newest.offset
     if body.previous_offset != newest_offset:
         return Err(Rejected(reason=RejectReason.STALE_VERSION, detail=f"mark {newest_offset}"))
-    # Every reader encodes its whole state at a mark. An author that marks without end would
-    # keep all of them busy; log time bounds it whatever the author does.
+    # Every reader encodes its whole state at a mark. The minimum interval in log time keeps a
+    # faulty author from overloading them.
     if newest is not None and meta.now_ms - newest.at_ms < MIN_MARK_INTERVAL_MS:
         return Err(Rejected(reason=RejectReason.CONFLICT, detail="marked a moment ago"))
     data = canonical_bytes(state)
@@ -49,7 +49,7 @@
 def complete(
     state: FleetState, meta: RecordMeta, body: SnapshotComplete
 ) -> Result[Accepted, Rejected]:
-    """Compare a claim about an offset with what the fold found when it was there."""
+    """Compare a claimed digest with the one that the fold computed at the same offset."""
     newest = state.snapshots.newest
     if newest is None or newest.offset != body.offset or newest.incarnation != body.incarnation:
         return Err(Rejected(reason=RejectReason.STALE_VERSION, detail=f"offset {body.offset}"))
--- a/heatherkeel/snapshots/schedule.py
+++ b/heatherkeel/snapshots/schedule.py
@@ -1,4 +1,4 @@
-"""Says when a snapshot is due, and in which order entry instances act."""
+"""Determines when a snapshot is due, and in which order entry instances act."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SnapshotPolicy:
-    """A snapshot is due after so many records or so much log time, whichever is first.
+    """A snapshot is due after a number of records or a log time, whichever is first.
 
-    An author that has not finished within `overtake_ms`, or whose lease has lapsed, is taken for
-    dead.
+    Another instance may replace an author that has not finished within `overtake_ms`, or whose
+    lease has expired.
     """
 
     interval_records: int
@@ -25,7 +25,7 @@
 
 
 def is_due(state: FleetState, *, policy: SnapshotPolicy, oldest: int, now_ms: int) -> bool:
-    """Say whether the next snapshot should be begun; `oldest` is the first retained offset."""
+    """Return whether a new snapshot should be started; `oldest` is the first retained offset."""
     newest = state.snapshots.newest
     if newest is not None and not newest.whole and not _is_overdue(state, policy, newest, now_ms):
         return False
@@ -42,13 +42,11 @@
 def _is_overdue(
     state: FleetState, policy: SnapshotPolicy, begun: MarkedSnapshot, now_ms: int
 ) -> bool:
-    """Say whether the author of a snapshot that isn't whole may be taken for dead.
+    """Return whether the author of an incomplete snapshot is considered failed.
 
-    An author that was killed after its mark held everybody else back for all of `overtake_ms`.
-    Meanwhile the log drops the records after the newest whole snapshot, and a replaced process
-    can't start: `out_of_retention` again and again. An author that can append chunks can renew
-    its lease as well, so a lapsed one is enough to go by; if it lives after all, the fold
-    refuses its claim.
+    Waiting for all of `overtake_ms` can be too long: the log may meanwhile drop the records after
+    the newest complete snapshot, and no process could start (`out_of_retention`). An expired
+    lease is therefore sufficient. If the author is still alive, the fold rejects its claim.
     """
     if now_ms - begun.at_ms >= policy.overtake_ms:
         return True
@@ -59,21 +57,21 @@
 
 
 def _runs_out(state: FleetState, *, whole_offset: int, oldest: int) -> bool:
-    """Say whether half of the retained records came before the newest snapshot.
+    """Return whether half of the retained records came before the newest snapshot.
 
-    A shorter retention than the settings expect would drop the records after the snapshot, and
-    no newcomer could start; what the log itself says of its oldest record shows it in time.
+    Guards against a retention that is shorter than the settings expect: once the log drops
+    records after the snapshot, no joining instance can start.
     """
     return oldest > 0 and whole_offset < (oldest + state.next_offset) // 2
 
 
 def jitter_ms(instance: str, offset: int) -> int:
-    """Return how long an entry instance waits before it acts about an offset."""
+    """Return the delay before an entry instance marks a snapshot."""
     return _rank(instance, offset) % JITTER_MS
 
 
 def endorsers(state: FleetState, *, author: str, offset: int) -> list[str]:
-    """Return who endorses a snapshot, one after the other; the author itself is the last."""
+    """Return the endorsers of a snapshot in order; the author itself is the last."""
     others = [name for name in state.membership.entries if name != author]
     others.sort(key=lambda name: _rank(name, offset))
     return [*others[:MAX_ENDORSERS], author]
--- a/heatherkeel/snapshots/store.py
+++ b/heatherkeel/snapshots/store.py
@@ -1,4 +1,4 @@
-"""The snapshot stream of the platform's log: appends to it, and the newest usable snapshot."""
+"""Appends to the snapshot stream of the platform's log, and loads the newest usable snapshot."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(kw_only=True)
 class Scan:
-    """What a backward scan has read so far; `low` is the lowest offset of it."""
+    """Records read so far by a backward scan; `low` is the lowest offset read."""
 
     low: int
     oldest: int
@@ -35,15 +35,15 @@
         return sorted(found, key=lambda manifest: -manifest.claim.offset)
 
     def backers(self, manifest: ManifestRecord) -> set[str]:
-        """Return who stands for a snapshot: its author and its endorsers."""
+        """Return the author and the endorsers of a snapshot."""
         same = [other for other in self.manifests() if other.claim == manifest.claim]
         return {manifest.claim.instance} | {other.endorser for other in same}
 
     def is_trusted(self, manifest: ManifestRecord) -> bool:
-        """Say whether more entry instances stand for a snapshot than against it.
+        """Return whether more entry instances support a snapshot than refuse it.
 
-        A process with a wrong state endorses its own wrong claim, and refuses the right ones of
-        the others; it is one against those who were at the same offset.
+        A process with a wrong state endorses its own wrong claim and refuses the correct claims
+        of others, so a single endorsement or refusal is not decisive.
         """
         claim = manifest.claim
         backers = self.backers(manifest)
@@ -67,8 +67,8 @@
     async def async_append(self, record: StreamRecord) -> Result[int, PlatformError]:
         """Append one record and return its offset.
 
-        A try whose answer was lost may leave a second copy. That does no harm: a chunk is found
-        by the offset that its manifest names, and all copies of a manifest say the same.
+        If the answer to an append is lost, the retry can leave a second copy. This is harmless:
+        chunks are found by the offsets in their manifest, and copies of a manifest are equal.
         """
         data = codec.encode_record(record)
         backoff = Backoff(first_s=0.1, limit_s=2.0)
@@ -83,7 +83,7 @@
         return Err(last)
 
     async def async_records_from(self, offset: int) -> Iterable[StreamRecord | None]:
-        """Return the records from an offset on; none if they can't be read."""
+        """Return the records from an offset on; an empty list if they can't be read."""
         outcome = await self.client.async_read(
             self.stream, offset=offset, max_records=SCAN_RECORDS, wait_ms=0
         )
@@ -94,10 +94,10 @@
                 return []
 
     async def async_load_newest(self, *, above: int) -> Result[FleetState | None, PlatformError]:
-        """Return the newest trusted state whose next offset is above `above`; None for none.
+        """Return the newest trusted state whose next offset is above `above`; None if none.
 
-        The stream is read backwards from its end, so that a start costs one snapshot and not
-        all that are retained.
+        The stream is read backwards from its end, so that a start doesn't read all retained
+        snapshots.
         """
         bounds = await self._async_bounds()
         if isinstance(bounds, Err):
@@ -120,9 +120,9 @@
         return Ok(None)
 
     async def async_is_outvoted(self, *, offset: int, digest: str) -> bool:
-        """Say whether others stand for another state at this offset than the one with `digest`.
+        """Return whether other instances agree on a state at this offset other than `digest`.
 
-        Looks only at the end of the stream, where the verdicts on the newest claim stand.
+        Reads only the end of the stream, which has the verdicts on the newest claim.
         """
         bounds = await self._async_bounds()
         if isinstance(bounds, Err):
@@ -136,7 +136,7 @@
         )
 
     async def _async_bounds(self) -> Result[Scan, PlatformError]:
-        """Return a scan that stands at the end of the stream."""
+        """Return an empty scan positioned at the end of the stream."""
         oldest = 0
         while True:
             outcome = await self.client.async_read(
@@ -151,7 +151,7 @@
                     return Err(error)
 
     async def _async_widen(self, scan: Scan) -> None:
-        """Read one more step below what was scanned."""
+        """Extend the scan by one step towards older records."""
         start = max(scan.oldest, scan.low - SCAN_RECORDS)
         outcome = await self.client.async_read(
             self.stream, offset=start, max_records=scan.low - start, wait_ms=0
@@ -168,7 +168,7 @@
                 return state
             case Err(failure):
                 _LOGGER.error(
-                    "snapshot left alone: %s",
+                    "snapshot ignored: %s",
                     failure,
                     extra={"event": "snapshot_unusable", "offset": manifest.claim.offset},
                 )
--- a/heatherkeel/snapshots/writer.py
+++ b/heatherkeel/snapshots/writer.py
@@ -34,11 +34,11 @@
 
 
 class StateDivergedError(BrokenInvariantError):
-    """The state of this process is not the one that the others have at the same offset."""
+    """The state of this process differs from that of other instances at the same offset."""
 
 
 class SnapshotWriter:
-    """The part of one entry process that writes the state back into the log."""
+    """Writes, endorses and refuses snapshots on behalf of one entry process."""
 
     def __init__(
         self,
@@ -61,11 +61,11 @@
         self.nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin to act on what the fold says about snapshots."""
+        """Start to handle the effects of the fold that concern snapshots."""
         self.nursery = nursery
 
     async def async_check(self) -> None:
-        """Mark a snapshot if one is due and nobody else does so first."""
+        """Mark a snapshot if one is due and no other instance marks it first."""
         if not self._may_act() or not self._is_due():
             return
         newest_offset = self._newest_offset()
@@ -78,17 +78,17 @@
         await self.log.async_write(body, timeout_s=WRITE_TIMEOUT_S)
 
     def hear_marked(self, effect: SnapshotMarked) -> None:
-        """Write the state if the mark is this process's own."""
+        """Write the state if this process is the author of the mark."""
         if self.nursery is not None and effect.mark.incarnation == self.incarnation:
             self.nursery.start_soon(self._async_write, effect)
 
     def hear_verified(self, effect: SnapshotVerified) -> None:
-        """Endorse a snapshot when it is this process's turn."""
+        """Endorse a verified snapshot, in the order of the endorsers."""
         if self.nursery is not None and self._may_act():
             self.nursery.start_soon(self._async_endorse, effect)
 
     def hear_settled(self, effect: Settled) -> None:
-        """Tell newcomers of a claim that the fold has found wrong."""
+        """Refuse a claim that the fold rejected because of its digest."""
         if effect.kind != "snapshots.complete" or not isinstance(effect.outcome, Rejected):
             return
         wrong = effect.outcome.reason is RejectReason.CONFLICT
@@ -97,7 +97,7 @@
             self.nursery.start_soon(self._async_refuse, effect.author, newest)
 
     def _may_act(self) -> bool:
-        """Say whether the fold is at the end of the log: what it says of old marks is past."""
+        """Return whether the fold has reached the end of the log; older marks need no action."""
         return self.follower.caught_up.is_set() and self.follower.reachable
 
     def _is_due(self) -> bool:
@@ -111,7 +111,7 @@
         return -1 if newest is None else newest.offset
 
     async def _async_write(self, effect: SnapshotMarked) -> None:
-        """Append the chunks one by one, then claim them."""
+        """Append the chunks one by one, then claim the snapshot as complete."""
         offset = effect.mark.offset
         extra = {"event": "snapshot_marked", "offset": offset, "state_bytes": len(effect.state)}
         _LOGGER.info("writing a snapshot", extra=extra)
@@ -124,7 +124,7 @@
                     chunk_offsets.append(chunk_offset)
                 case Err(error):
                     extra = {"event": "snapshot_given_up", "offset": offset}
-                    _LOGGER.warning("snapshot given up: %s", error.detail, extra=extra)
+                    _LOGGER.warning("snapshot abandoned: %s", error.detail, extra=extra)
                     return
             await trio.sleep(APPEND_PAUSE_S)
         claim = SnapshotComplete(
@@ -157,14 +157,13 @@
         return any(isinstance(item, ManifestRecord) and item.claim == claim for item in records)
 
     async def _async_refuse(self, author: str, found: MarkedSnapshot) -> None:
-        """Tell others of a wrong claim, and find out which side is wrong.
+        """Refuse a claim, and check whether this process or the author has the wrong state.
 
-        One of both has a state that is not the log's, and decides otherwise than all others for
-        good. If more stand for the claim than against it, it is this one: it ends and is
-        replaced, which starts from their snapshot.
+        If more instances support the claim than refuse it, this process has the wrong state. It
+        stops, and its replacement starts from their snapshot.
         """
         extra = {"event": "snapshot_refused", "offset": found.offset}
-        _LOGGER.error("snapshot of %s has another digest", author, extra=extra)
+        _LOGGER.error("snapshot of %s has a different digest", author, extra=extra)
         order = schedule.endorsers(self.state(), author=author, offset=found.offset)
         if self.instance in order:
             refusal = RefusalRecord(
@@ -173,4 +172,6 @@
             await self.store.async_append(refusal)
         await trio.sleep(VERDICT_WAIT_S)
         if await self.store.async_is_outvoted(offset=found.offset, digest=found.digest):
-            raise StateDivergedError(f"others agree on another state at offset {found.offset}")
+            raise StateDivergedError(
+                f"other instances agree on a different state at offset {found.offset}"
+            )
--- a/tests/snapshots/test_fold.py
+++ b/tests/snapshots/test_fold.py
@@ -1,4 +1,4 @@
-"""Snapshots: one author at a time, wrong claims refused, no wrong byte ever loaded."""
+"""Tests of the snapshot records: one author at a time, wrong claims and damaged data rejected."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Log:
-    """A log in memory with one folded state."""
+    """An in-memory log with one folded state."""
 
     def __init__(self) -> None:
         self.state = FleetState()
@@ -134,8 +134,8 @@
 
 
 def test_missing_swapped_and_foreign_chunks_never_load() -> None:
-    # A writer dies between two chunks, a chunk falls out of retention, or chunks of two
-    # snapshots lie mixed in the stream.
+    # A writer stops between two chunks, a chunk is out of retention, or the chunks of two
+    # snapshots are mixed in the stream.
     log = Log()
     first, first_chunks = write(marked_in(log.mark()))
     log.now_ms += MIN_MARK_INTERVAL_MS
@@ -148,8 +148,8 @@
 
 
 def test_another_state_never_loads_though_it_is_packed_well() -> None:
-    # The chunk offsets of the manifest lead to a whole and undamaged state, but to another one:
-    # the platform lost records and gave their offsets again.
+    # The chunk offsets refer to an undamaged but different state, because the platform lost
+    # records and reused their offsets.
     log = Log()
     log.append(join(1))
     manifest, _ = write(marked_in(log.mark()))
@@ -159,8 +159,8 @@
 
 
 def test_of_two_racing_marks_the_first_one_is_written() -> None:
-    # Two entry instances find a snapshot due at the same time. The second one's mark names a
-    # newest mark that is no longer the newest: it hears so and stays quiet.
+    # Two entry instances mark a snapshot at the same time. The second mark names a previous mark
+    # that is no longer the newest, so it is rejected.
     log = Log()
     marked_in(log.mark("e-1", previous=-1))
     log.now_ms += MIN_MARK_INTERVAL_MS
@@ -168,7 +168,7 @@
 
 
 def test_marks_without_end_are_refused() -> None:
-    # Each mark makes every reader encode its state; a faulty author must not keep them busy.
+    # Each mark makes every reader encode its state; a faulty author must not overload them.
     log = Log()
     log.mark()
     log.now_ms += MIN_MARK_INTERVAL_MS - 1
@@ -178,8 +178,8 @@
 
 
 def test_a_wrong_claim_is_refused_by_the_fold() -> None:
-    # A writer whose memory went wrong claims another state. Every reader that was at the offset
-    # refuses the claim by the digest that it took itself, and no newcomer is led astray.
+    # A writer with a corrupted state claims a wrong digest. Every reader rejects it by its own
+    # digest, so that no joining instance loads the wrong state.
     log = Log()
     marked = marked_in(log.mark())
     manifest, _ = write(marked)
@@ -191,7 +191,7 @@
 
 
 def test_an_overtaken_author_is_refused() -> None:
-    # An author is paused between its mark and its last chunk; another one has marked since.
+    # An author is paused between its mark and its last chunk, and another one marks meanwhile.
     log = Log()
     manifest, _ = write(marked_in(log.mark("e-1")))
     log.now_ms += MIN_MARK_INTERVAL_MS
@@ -203,7 +203,7 @@
 
 
 def test_a_claim_by_another_than_the_author_is_refused() -> None:
-    # A restarted entry instance has the id of the author, but not its chunks.
+    # A restarted entry instance has the id of the author but not its incarnation.
     log = Log()
     manifest, _ = write(marked_in(log.mark("e-1")))
     foreign = msgspec.structs.replace(manifest.claim, incarnation="i-other")
--- a/tests/snapshots/test_follow_ups.py
+++ b/tests/snapshots/test_follow_ups.py
@@ -1,4 +1,4 @@
-"""A snapshot holds all that its record changed, also what log time alone brought about."""
+"""Tests that a snapshot includes the follow-ups that its own record triggers."""
 
 from __future__ import annotations
 
@@ -17,9 +17,8 @@
 
 
 def test_a_mark_that_ends_a_wait_by_its_time_is_restored_with_it() -> None:
-    # A lease in another zone runs out by the very record that marks a snapshot, and its drain is
-    # free to stop. A newcomer that restores a state from before that would find the drain still
-    # waiting, decide otherwise than the others, and be outvoted on every later snapshot.
+    # The record that marks a snapshot also lets a lease expire, which ends a drain. A snapshot
+    # without that change would make a joining instance diverge from the others.
     log = small_fleet()
     log.must(log.drain("a0"))
     log.must(log.ack("entry-a", "a0"))
--- a/tests/snapshots/test_schedule.py
+++ b/tests/snapshots/test_schedule.py
@@ -1,4 +1,4 @@
-"""When a snapshot is due, and who acts: early enough, and never all at once."""
+"""Tests of when a snapshot is due and which instances act on it."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
     assert due(state_at(5, newest=None), oldest=1)
     assert not due(state_at(199)) and due(state_at(200))
     assert due(state_at(110), now_ms=61_000) and not due(state_at(102), now_ms=61_000)
-    # The log keeps far less than the settings expect: half of what is left came before.
+    # Retention is shorter than expected: half of the retained records precede the snapshot.
     assert due(state_at(190), oldest=50) and not due(state_at(190), oldest=9)
 
 
 def test_others_wait_for_an_author_and_overtake_a_dead_one() -> None:
-    # An author marks and dies before its last chunk. While it may still write, nobody else
-    # marks; after that another one does, though the first one never said that it failed.
+    # An author fails between its mark and its last chunk without reporting it. Others wait for
+    # `overtake_ms` and then mark a new snapshot.
     begun = replace(WHOLE, offset=300, at_ms=10_000, whole=False)
     assert not due(state_at(400, newest=begun), now_ms=14_999)
     assert due(state_at(400, newest=begun), now_ms=15_000)
@@ -57,9 +57,8 @@
 
 
 def test_an_author_whose_lease_lapsed_is_overtaken_at_once() -> None:
-    # An author is killed right after its mark. The log keeps few records; were the others to
-    # wait the whole time for it, the records after the last snapshot would be gone, and the
-    # killed process could not start again. Its lease tells them much sooner.
+    # An author is killed right after its mark. Waiting for all of `overtake_ms` could lose the
+    # records after the last snapshot to retention, and no process could start.
     begun = replace(WHOLE, offset=300, at_ms=10_000, whole=False)
     state = state_at(400, newest=begun)
     state.membership.entries["e-1"] = joined(lease_until_ms=12_000)
@@ -67,7 +66,7 @@
 
 
 def test_an_author_that_has_started_anew_is_overtaken_at_once() -> None:
-    # The killed author is back under its id. What it had begun is lost with its memory.
+    # The killed author restarts under the same id, but has lost the snapshot that it was writing.
     begun = replace(WHOLE, offset=300, at_ms=10_000, whole=False)
     state = state_at(400, newest=begun)
     state.membership.entries["e-1"] = joined(incarnation="2", lease_until_ms=20_000)
@@ -75,15 +74,15 @@
 
 
 def test_an_author_that_has_not_joined_has_its_whole_time() -> None:
-    # A process that has just started may mark before its first lease. That there is none says
-    # nothing against it.
+    # A process that has just started may mark before its first lease; the missing lease must not
+    # count as an expired one.
     begun = replace(WHOLE, offset=300, at_ms=10_000, whole=False)
     assert not due(state_at(400, newest=begun), now_ms=14_999)
 
 
 def test_entry_instances_are_spread_and_few_endorse() -> None:
-    # 200 entry instances see at the same record that a snapshot is due. Their times differ, so
-    # that most of them see the first one's mark and stay quiet.
+    # 200 entry instances find at the same record that a snapshot is due. Their delays differ, so
+    # that most of them see the first mark and send none.
     names = [f"e-{number}" for number in range(200)]
     times = {jitter_ms(name, 7) for name in names}
     assert len(times) > 150 and max(times) < JITTER_MS
--- a/tests/snapshots/test_store.py
+++ b/tests/snapshots/test_store.py
@@ -1,4 +1,4 @@
-"""What a newcomer finds in the snapshot stream: only whole snapshots that others vouch for."""
+"""Tests that only complete and trusted snapshots are loaded from the snapshot stream."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Stream:
-    """A snapshot stream, and a log whose states are written into it."""
+    """A snapshot stream, and a log whose states are written to it."""
 
     def __init__(self) -> None:
         self.client = FakeClient()
@@ -46,8 +46,8 @@
 
 
 def test_the_newest_whole_snapshot_is_found_behind_much_else() -> None:
-    # Writers that died left chunks, one snapshot has a chunk missing, records of nobody lie
-    # between, the first records are dropped, and some answers were lost.
+    # The stream also has a snapshot with a missing chunk, unreadable records, dropped first
+    # records and copies left by lost answers.
     async def scenario() -> None:
         stream = Stream()
         older = await stream.write(stream.mark())
@@ -69,8 +69,8 @@
 
 
 def test_a_snapshot_that_others_refuse_is_left_alone() -> None:
-    # A process whose memory went wrong endorses its own claim. The two others that were at the
-    # same offset refuse it; the newcomer takes the older snapshot.
+    # A process with a corrupted state endorses its own claim, and two others refuse it. A joining
+    # instance must load the older snapshot.
     async def scenario() -> None:
         stream = Stream()
         older = await stream.write(stream.mark())
@@ -84,7 +84,7 @@
 
 
 def test_one_wrong_process_cannot_refuse_a_right_snapshot() -> None:
-    # The wrong process also refuses the right snapshots of the others. It is one against two.
+    # A process with a wrong state also refuses correct snapshots; two supporters outvote it.
     async def scenario() -> None:
         stream = Stream()
         right = await stream.write(stream.mark())
@@ -96,8 +96,8 @@
 
 
 def test_an_unreachable_platform_is_not_an_empty_stream() -> None:
-    # A newcomer that took an outage for an empty stream would fold from the first record of a
-    # log that has none any more.
+    # A joining instance that took an outage for an empty stream would try to fold from a first
+    # record that the log has already dropped.
     async def scenario() -> None:
         stream = Stream()
         stream.client.readable = False
--- a/tests/snapshots/test_writer.py
+++ b/tests/snapshots/test_writer.py
@@ -1,4 +1,4 @@
-"""Several entry instances and one log: one snapshot at a time, and one that somebody finishes."""
+"""Tests of snapshot writers that share one log: one snapshot at a time, failed authors replaced."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 def log_now_ms() -> int:
-    """Return a log time that goes with the scenario's own clock."""
+    """Return a log time that follows the scenario's clock."""
     return 1_000_000 + round(trio.current_time() * 1000)
 
 
 class Fleet:
-    """Entry instances on one platform in memory, each with calls of its own to it."""
+    """Entry instances on one in-memory platform, each with its own client."""
 
     def __init__(
         self, names: list[str], *, snapshots: SnapshotSettings = SNAPSHOTS, lease_ms: int = 9_000
@@ -79,7 +79,7 @@
                     await trio.sleep(0.05)
 
     async def run_until(self, condition: Callable[[], object], *, also_s: float = 0) -> None:
-        """Run all until the condition holds, and some time more."""
+        """Run all instances until the condition holds, and then for `also_s` more."""
         with trio.fail_after(600):
             async with trio.open_nursery() as nursery:
                 for name in self.nodes:
@@ -105,8 +105,8 @@
 
 
 def test_of_many_entry_instances_one_writes_and_one_endorses() -> None:
-    # Eight entry instances see at the same record that a snapshot is due. More than one mark, or
-    # eight sets of chunks, would load the log that all others of the platform share.
+    # Eight entry instances find at the same record that a snapshot is due. Several marks or sets
+    # of chunks would overload the shared log.
     async def scenario() -> None:
         fleet = Fleet([f"e-{number}" for number in range(8)])
         await fleet.run_until(fleet.manifests, also_s=0.9)
@@ -120,7 +120,7 @@
 
 
 async def lose_first_author(fleet: Fleet) -> None:
-    """Run until a snapshot is whole, with its first author lost and its chunk unwritten."""
+    """Run until a snapshot is complete although its first author fails before writing a chunk."""
     marked: list[str] = []
 
     def kill_first_author() -> bool:
@@ -149,16 +149,14 @@
 
 
 def test_an_author_that_dies_between_chunks_is_overtaken() -> None:
-    # The author of the mark is lost with its chunk unwritten. Nobody starts from its snapshot;
-    # another entry instance marks anew, and finishes.
+    # The author of the mark fails before it writes its chunk. No instance loads its snapshot;
+    # another entry instance marks a new one and completes it.
     run(lambda: lose_first_author(Fleet(["e-1", "e-2", "e-3"])))
 
 
 def test_an_author_that_dies_is_overtaken_when_its_lease_lapses() -> None:
-    # The same, with a log that takes an author for dead only after a minute. A newcomer waits
-    # for the next snapshot all that time if the log has dropped its first records. The author's
-    # lease of two seconds says sooner that it is gone: it takes that, the jitter of the two marks
-    # (two seconds each), and the turns of the endorsers.
+    # As above, with an `overtake_ms` of a minute. The limit covers the lease (2 s), the jitter of
+    # two marks (2 s each) and the delays of the endorsers.
     async def scenario() -> None:
         patient = SnapshotSettings(interval_records=3, overtake_ms=60_000, check_interval_ms=50)
         fleet = Fleet(["e-1", "e-2", "e-3"], snapshots=patient, lease_ms=2_000)
@@ -170,13 +168,12 @@
 
 
 def test_a_process_with_a_wrong_state_ends_itself() -> None:
-    # The memory of one entry instance went wrong. It refuses the snapshot on which the others
-    # agree, and would decide otherwise than all of them for good. It finds that it is the odd
-    # one and ends; the snapshot stays usable.
+    # One entry instance has a corrupted state and refuses the snapshot on which the others agree.
+    # It must detect that it is outvoted and stop; the snapshot stays usable.
     async def scenario() -> None:
         fleet = Fleet(["e-1", "e-2", "e-3", "e-4"])
         wrong = fleet.nodes["e-1"]
-        # It must not be the author, whose own digest is the claim.
+        # The author can't refuse, because its own digest is the claimed one.
         wrong.snapshots.async_check = trio.lowlevel.checkpoint  # type: ignore[method-assign]
         wrong.state.fleet.catalogue.versions["nonsense"] = 1
         with pytest.raises(BaseExceptionGroup) as raised:
