--- a/heatherkeel/snapshots/schedule.py
+++ b/heatherkeel/snapshots/schedule.py
@@ -36,7 +36,7 @@
         return True
     if now_ms - whole.at_ms >= policy.interval_ms and state.next_offset > whole.offset + 2:
         return True
-    return _runs_out(state, whole_offset=whole.offset, oldest=oldest)
+    return _is_retention_running_out(state, whole_offset=whole.offset, oldest=oldest)
 
 
 def _is_overdue(
@@ -56,7 +56,7 @@
     return author.incarnation != begun.incarnation or author.lease_until_ms <= now_ms
 
 
-def _runs_out(state: FleetState, *, whole_offset: int, oldest: int) -> bool:
+def _is_retention_running_out(state: FleetState, *, whole_offset: int, oldest: int) -> bool:
     """Return whether half of the retained records came before the newest snapshot.
 
     Guards against a retention that is shorter than the settings expect: once the log drops
--- a/heatherkeel/snapshots/store.py
+++ b/heatherkeel/snapshots/store.py
@@ -34,7 +34,7 @@
         found = [item for item in self.records.values() if isinstance(item, ManifestRecord)]
         return sorted(found, key=lambda manifest: -manifest.claim.offset)
 
-    def backers(self, manifest: ManifestRecord) -> set[str]:
+    def supporters(self, manifest: ManifestRecord) -> set[str]:
         """Return the author and the endorsers of a snapshot."""
         same = [other for other in self.manifests() if other.claim == manifest.claim]
         return {manifest.claim.instance} | {other.endorser for other in same}
@@ -46,7 +46,7 @@
         of others, so a single endorsement or refusal is not decisive.
         """
         claim = manifest.claim
-        backers = self.backers(manifest)
+        supporters = self.supporters(manifest)
         refusers = {
             refusal.instance
             for refusal in self.records.values()
@@ -54,7 +54,7 @@
             and refusal.offset == claim.offset
             and refusal.digest != claim.digest
         }
-        return len(backers - refusers) > len(refusers)
+        return len(supporters - refusers) > len(refusers)
 
 
 class SnapshotStore:
@@ -106,7 +106,7 @@
         tried: set[int] = set()
         stop = max(scan.oldest, scan.low - MAX_SCANNED_RECORDS)
         while scan.low > stop:
-            await self._async_widen(scan)
+            await self._async_extend(scan)
             for manifest in scan.manifests():
                 offset = manifest.claim.offset
                 if offset in tried or manifest.format != FORMAT or offset + 1 <= above:
@@ -128,11 +128,11 @@
         if isinstance(bounds, Err):
             return False
         scan = bounds.ok_value
-        await self._async_widen(scan)
+        await self._async_extend(scan)
         return any(
             manifest.claim.digest != digest and scan.is_trusted(manifest)
             for manifest in scan.manifests()
-            if manifest.claim.offset == offset and len(scan.backers(manifest)) > 1
+            if manifest.claim.offset == offset and len(scan.supporters(manifest)) > 1
         )
 
     async def _async_bounds(self) -> Result[Scan, PlatformError]:
@@ -150,7 +150,7 @@
                 case Err(error):
                     return Err(error)
 
-    async def _async_widen(self, scan: Scan) -> None:
+    async def _async_extend(self, scan: Scan) -> None:
         """Extend the scan by one step towards older records."""
         start = max(scan.oldest, scan.low - SCAN_RECORDS)
         outcome = await self.client.async_read(
--- a/heatherkeel/snapshots/writer.py
+++ b/heatherkeel/snapshots/writer.py
@@ -66,7 +66,7 @@
 
     async def async_check(self) -> None:
         """Mark a snapshot if one is due and no other instance marks it first."""
-        if not self._may_act() or not self._is_due():
+        if not self._can_act() or not self._is_due():
             return
         newest_offset = self._newest_offset()
         await trio.sleep(schedule.jitter_ms(self.instance, newest_offset) / 1000)
@@ -84,7 +84,7 @@
 
     def hear_verified(self, effect: SnapshotVerified) -> None:
         """Endorse a verified snapshot, in the order of the endorsers."""
-        if self.nursery is not None and self._may_act():
+        if self.nursery is not None and self._can_act():
             self.nursery.start_soon(self._async_endorse, effect)
 
     def hear_settled(self, effect: Settled) -> None:
@@ -93,10 +93,10 @@
             return
         wrong = effect.outcome.reason is RejectReason.CONFLICT
         newest = self.state().snapshots.newest
-        if wrong and newest is not None and self.nursery is not None and self._may_act():
+        if wrong and newest is not None and self.nursery is not None and self._can_act():
             self.nursery.start_soon(self._async_refuse, effect.author, newest)
 
-    def _may_act(self) -> bool:
+    def _can_act(self) -> bool:
         """Return whether the fold has reached the end of the log; older marks need no action."""
         return self.follower.caught_up.is_set() and self.follower.reachable
 
