--- a/tests/snapshots/test_fold.py
+++ b/tests/snapshots/test_fold.py
@@ -147,7 +147,7 @@
     assert codec.decode_record(codec.encode_record(first)) == first
 
 
-def test_another_state_never_loads_though_it_is_packed_well() -> None:
+def test_undamaged_but_different_state_never_loads() -> None:
     # The chunk offsets refer to an undamaged but different state, because the platform lost
     # records and reused their offsets.
     log = Log()
@@ -167,7 +167,7 @@
     assert refusal_in(log.mark("e-2", previous=-1)) is RejectReason.STALE_VERSION
 
 
-def test_marks_without_end_are_refused() -> None:
+def test_too_frequent_marks_are_refused() -> None:
     # Each mark makes every reader encode its state; a faulty author must not overload them.
     log = Log()
     log.mark()
--- a/tests/snapshots/test_schedule.py
+++ b/tests/snapshots/test_schedule.py
@@ -37,7 +37,7 @@
     assert due(state_at(190), oldest=50) and not due(state_at(190), oldest=9)
 
 
-def test_others_wait_for_an_author_and_overtake_a_dead_one() -> None:
+def test_author_is_replaced_after_the_overtake_time() -> None:
     # An author fails between its mark and its last chunk without reporting it. Others wait for
     # `overtake_ms` and then mark a new snapshot.
     begun = replace(WHOLE, offset=300, at_ms=10_000, whole=False)
@@ -56,7 +56,7 @@
     )
 
 
-def test_an_author_whose_lease_lapsed_is_overtaken_at_once() -> None:
+def test_author_with_expired_lease_is_replaced_at_once() -> None:
     # An author is killed right after its mark. Waiting for all of `overtake_ms` could lose the
     # records after the last snapshot to retention, and no process could start.
     begun = replace(WHOLE, offset=300, at_ms=10_000, whole=False)
@@ -65,7 +65,7 @@
     assert not due(state, now_ms=11_999) and due(state, now_ms=12_000)
 
 
-def test_an_author_that_has_started_anew_is_overtaken_at_once() -> None:
+def test_restarted_author_is_replaced_at_once() -> None:
     # The killed author restarts under the same id, but has lost the snapshot that it was writing.
     begun = replace(WHOLE, offset=300, at_ms=10_000, whole=False)
     state = state_at(400, newest=begun)
@@ -73,7 +73,7 @@
     assert due(state, now_ms=10_001)
 
 
-def test_an_author_that_has_not_joined_has_its_whole_time() -> None:
+def test_author_that_has_not_joined_keeps_the_overtake_time() -> None:
     # A process that has just started may mark before its first lease; the missing lease must not
     # count as an expired one.
     begun = replace(WHOLE, offset=300, at_ms=10_000, whole=False)
--- a/tests/snapshots/test_store.py
+++ b/tests/snapshots/test_store.py
@@ -45,7 +45,7 @@
         return None if loaded.ok_value is None else loaded.ok_value.next_offset - 1
 
 
-def test_the_newest_whole_snapshot_is_found_behind_much_else() -> None:
+def test_newest_complete_snapshot_is_found_among_other_records() -> None:
     # The stream also has a snapshot with a missing chunk, unreadable records, dropped first
     # records and copies left by lost answers.
     async def scenario() -> None:
@@ -68,7 +68,7 @@
     run(scenario)
 
 
-def test_a_snapshot_that_others_refuse_is_left_alone() -> None:
+def test_snapshot_that_others_refuse_is_ignored() -> None:
     # A process with a corrupted state endorses its own claim, and two others refuse it. A joining
     # instance must load the older snapshot.
     async def scenario() -> None:
--- a/tests/snapshots/test_writer.py
+++ b/tests/snapshots/test_writer.py
@@ -148,13 +148,13 @@
     assert await fleet.load() is not None
 
 
-def test_an_author_that_dies_between_chunks_is_overtaken() -> None:
+def test_author_that_fails_between_chunks_is_replaced() -> None:
     # The author of the mark fails before it writes its chunk. No instance loads its snapshot;
     # another entry instance marks a new one and completes it.
     run(lambda: lose_first_author(Fleet(["e-1", "e-2", "e-3"])))
 
 
-def test_an_author_that_dies_is_overtaken_when_its_lease_lapses() -> None:
+def test_failed_author_is_replaced_when_its_lease_expires() -> None:
     # As above, with an `overtake_ms` of a minute. The limit covers the lease (2 s), the jitter of
     # two marks (2 s each) and the delays of the endorsers.
     async def scenario() -> None:
@@ -167,7 +167,7 @@
     run(scenario)
 
 
-def test_a_process_with_a_wrong_state_ends_itself() -> None:
+def test_process_with_a_wrong_state_stops() -> None:
     # One entry instance has a corrupted state and refuses the snapshot on which the others agree.
     # It must detect that it is outvoted and stop; the snapshot stays usable.
     async def scenario() -> None:
