--- a/heatherkeel/entry/node.py
+++ b/heatherkeel/entry/node.py
@@ -73,10 +73,10 @@
         self.started_from_peer = False
         self.hearers: dict[type[Effect], list[Callable[[Any], None]]] = {}
         self.subscribe(Settled, self.writer.settle)
-        self.subscribe(Settled, self.snapshots.hear_settled)
+        self.subscribe(Settled, self.snapshots.handle_settled)
         self.subscribe(Duplicate, self.writer.hear_duplicate)
-        self.subscribe(SnapshotMarked, self.snapshots.hear_marked)
-        self.subscribe(SnapshotVerified, self.snapshots.hear_verified)
+        self.subscribe(SnapshotMarked, self.snapshots.handle_marked)
+        self.subscribe(SnapshotVerified, self.snapshots.handle_verified)
         self.subscribe(Skipped, _log_skipped)
 
     def _make_snapshot_writer(self) -> SnapshotWriter:
--- a/heatherkeel/snapshots/writer.py
+++ b/heatherkeel/snapshots/writer.py
@@ -77,17 +77,17 @@
         )
         await self.log.async_write(body, timeout_s=WRITE_TIMEOUT_S)
 
-    def hear_marked(self, effect: SnapshotMarked) -> None:
+    def handle_marked(self, effect: SnapshotMarked) -> None:
         """Write the state if this process is the author of the mark."""
         if self.nursery is not None and effect.mark.incarnation == self.incarnation:
             self.nursery.start_soon(self._async_write, effect)
 
-    def hear_verified(self, effect: SnapshotVerified) -> None:
+    def handle_verified(self, effect: SnapshotVerified) -> None:
         """Endorse a verified snapshot, in the order of the endorsers."""
         if self.nursery is not None and self._can_act():
             self.nursery.start_soon(self._async_endorse, effect)
 
-    def hear_settled(self, effect: Settled) -> None:
+    def handle_settled(self, effect: Settled) -> None:
         """Refuse a claim that the fold rejected because of its digest."""
         if effect.kind != "snapshots.complete" or not isinstance(effect.outcome, Rejected):
             return
