--- a/heatherkeel/measure/snapshots.py
+++ b/heatherkeel/measure/snapshots.py
@@ -125,7 +125,7 @@
     return Cost(
         state_bytes=len(marked.state),
         packed_bytes=len(packed),
-        chunks=len(codec.cut(packed, offset=0)),
+        chunks=len(codec.split_into_chunks(packed, offset=0)),
         mark_ms=mark_ms,
         pack_ms=pack_ms,
         write_ms=write_ms,
@@ -146,7 +146,7 @@
 async def _async_write(store: SnapshotStore, marked: SnapshotMarked, packed: bytes) -> None:
     """Write as the production writer does, its pauses included."""
     offsets: list[int] = []
-    for chunk in codec.cut(packed, offset=marked.mark.offset):
+    for chunk in codec.split_into_chunks(packed, offset=marked.mark.offset):
         offsets.append((await store.async_append(chunk)).unwrap())
         await trio.sleep(APPEND_PAUSE_S)
     claim = SnapshotComplete(
--- a/heatherkeel/snapshots/codec.py
+++ b/heatherkeel/snapshots/codec.py
@@ -56,7 +56,7 @@
     return state if unpacker.eof and not unpacker.unused_data else None
 
 
-def cut(packed: bytes, *, offset: int) -> list[ChunkRecord]:
+def split_into_chunks(packed: bytes, *, offset: int) -> list[ChunkRecord]:
     """Split the packed state at `offset` into chunks."""
     return [
         ChunkRecord(offset=offset, index=index, data=packed[start : start + CHUNK_BYTES])
--- a/heatherkeel/snapshots/writer.py
+++ b/heatherkeel/snapshots/writer.py
@@ -116,7 +116,7 @@
         extra = {"event": "snapshot_marked", "offset": offset, "state_bytes": len(effect.state)}
         _LOGGER.info("writing a snapshot", extra=extra)
         chunk_offsets: list[int] = []
-        for chunk in codec.cut(codec.pack(effect.state), offset=offset):
+        for chunk in codec.split_into_chunks(codec.pack(effect.state), offset=offset):
             if self._newest_offset() != offset:
                 return
             match await self.store.async_append(chunk):
--- a/tests/snapshots/test_fold.py
+++ b/tests/snapshots/test_fold.py
@@ -77,7 +77,7 @@
 
 
 def write(marked: SnapshotMarked) -> tuple[ManifestRecord, list[ChunkRecord]]:
-    chunks = codec.cut(codec.pack(marked.state), offset=marked.mark.offset)
+    chunks = codec.split_into_chunks(codec.pack(marked.state), offset=marked.mark.offset)
     manifest = ManifestRecord(
         format=FORMAT, claim=claim_of(marked, chunks), at_ms=marked.mark.at_ms, endorser="e-2"
     )
@@ -154,7 +154,7 @@
     log.append(join(1))
     manifest, _ = write(marked_in(log.mark()))
     other = FleetState(next_offset=log.state.next_offset)
-    chunks = codec.cut(codec.pack(canonical_bytes(other)), offset=1)
+    chunks = codec.split_into_chunks(codec.pack(canonical_bytes(other)), offset=1)
     assert codec.load(manifest, list(chunks)) == Err(codec.LoadFailure.WRONG_DIGEST)
 
 
