--- a/heatherkeel/core/__init__.py
+++ b/heatherkeel/core/__init__.py
@@ -1,1 +1,1 @@
-"""The fold over the platform's log: envelopes, registries, the reducer and its checkers."""
+"""The fold over the platform's log: record envelopes, registries, reducer and checkers."""
--- a/heatherkeel/core/envelopes.py
+++ b/heatherkeel/core/envelopes.py
@@ -1,4 +1,4 @@
-"""Makes envelopes for record bodies."""
+"""Creates and encodes envelopes for record bodies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def new_record_id() -> str:
-    """Return an id that no other record has."""
+    """Return a unique record id."""
     return uuid.uuid4().hex
 
 
@@ -26,7 +26,7 @@
     record_id: str | None = None,
     lifetime_ms: int = DEFAULT_RECORD_LIFETIME_MS,
 ) -> Envelope:
-    """Wrap a body; `now_ms` is the newest log time that the author has seen."""
+    """Wrap a body in an envelope; `now_ms` is the newest log time known to the author."""
     return Envelope(
         id=record_id or new_record_id(),
         kind=KIND_OF_BODY[type(body)],
@@ -42,5 +42,5 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return the bytes that go into the log."""
+    """Return the bytes that are appended to the log."""
     return _ENCODER.encode(envelope)
--- a/heatherkeel/core/errors.py
+++ b/heatherkeel/core/errors.py
@@ -1,14 +1,14 @@
-"""Broken invariants: the only errors of the fold that stop the process."""
+"""Errors for broken invariants, which stop the process."""
 
 from __future__ import annotations
 
 
 class BrokenInvariantError(Exception):
-    """The process can't trust its own state any more; it stops and is replaced."""
+    """The state of this process is not reliable; the process stops and is replaced."""
 
 
 class OffsetGapError(BrokenInvariantError):
-    """A record does not follow the last folded offset: something was skipped."""
+    """The offset of a record does not directly follow the last folded offset."""
 
     def __init__(self, *, expected: int, found: int) -> None:
         super().__init__(f"expected offset {expected}, found {found}")
@@ -17,4 +17,4 @@
 
 
 class RegistrationError(BrokenInvariantError):
-    """Two handlers claim the same record kind, or a name is registered twice."""
+    """A record kind, name or handler is registered twice."""
--- a/heatherkeel/core/models.py
+++ b/heatherkeel/core/models.py
@@ -1,4 +1,4 @@
-"""Border models and data classes of the fold."""
+"""Record models and data classes of the fold."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RejectReason(StrEnum):
-    """Why the fold refused a record; every reader reaches the same reason."""
+    """Why the fold rejected a record; the same for every reader."""
 
     MALFORMED = "malformed"
     UNKNOWN_KIND = "unknown_kind"
@@ -28,14 +28,14 @@
     QUOTA = "quota"
     IN_USE = "in_use"
     INVALID = "invalid"
-    """The body is well formed, but breaks a rule that concerns other parts of the state."""
+    """The body is well formed, but conflicts with other parts of the state."""
 
 
 class Envelope(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What an author appends: a record of one kind, under a unique id.
+    """A record of one kind with a unique id, as an author appends it.
 
-    `not_after_ms` is in log time. A copy that is appended later is refused, so the fold has to
-    remember ids only until then.
+    `not_after_ms` is in log time. Later copies are rejected, so the fold keeps ids only until
+    then.
     """
 
     id: str
@@ -46,7 +46,7 @@
 
 
 class RecordBody(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Base of all record bodies; a subject registers its own with `register_record`."""
+    """Base class of all record bodies; their handlers are registered with `handles`."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RecordMeta:
-    """What a handler may know about the record besides its body; times in log milliseconds."""
+    """Metadata of a record that its handler receives; times in log milliseconds."""
 
     id: str
     kind: str
@@ -75,12 +75,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Effect:
-    """Base of all effects: something for the world outside of the reducer to do or to tell."""
+    """Base class of all effects: actions or notifications for the code outside the reducer."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Accepted:
-    """The fold took the record; `version` is the new version of what it changed, 0 if none."""
+    """The fold accepted the record; `version` is the new version of the changed item, 0 if none."""
 
     version: int = 0
     effects: tuple[Effect, ...] = ()
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Rejected:
-    """The fold refused the record and changed nothing; `version` is the one in force."""
+    """The fold rejected the record and changed nothing; `version` is the one in force."""
 
     reason: RejectReason
     detail: str = ""
@@ -97,10 +97,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class RecordOutcome:
-    """How the fold decided a record; kept as long as the record could be appended again.
+    """The decision on a record; kept as long as the record could be appended again.
 
-    `reason` is empty if the record was accepted. `body_sha256` tells a repeat of the record
-    from another one under the same id.
+    `reason` is empty if the record was accepted. `body_sha256` distinguishes a repetition of the
+    record from a different record with the same id.
     """
 
     offset: int
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Settled(Effect):
-    """Tells the author of a record how the fold decided it; `offset` is the record's."""
+    """Reports the decision on a record to its author; `offset` is that of the record."""
 
     record_id: str
     kind: str
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Skipped(Effect):
-    """A record that nobody can read was passed over, the same at every reader."""
+    """An unreadable record was skipped, as it is by every reader."""
 
     offset: int
     reason: RejectReason
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Violation:
-    """A promise that does not hold at an offset; `where` names the entry, instance or job."""
+    """A promise that is violated at an offset; `where` names the entry, instance or job."""
 
     promise: str
     offset: int
@@ -149,5 +149,5 @@
 
 
 def to_jsonable(value: Any) -> Any:
-    """Return plain JSON types for a model or data class."""
+    """Convert a model or data class to plain JSON types."""
     return msgspec.to_builtins(value, order="sorted")
--- a/heatherkeel/core/node.py
+++ b/heatherkeel/core/node.py
@@ -1,4 +1,4 @@
-"""The reducer of one process: records from the log and local events, through one door."""
+"""The reducer of one process, for records from the log and local events."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LocalEvent:
-    """Base of what happens to one process; `now_ms` is its monotonic clock."""
+    """Base class of the local events of one process; `now_ms` is its monotonic clock."""
 
     now_ms: int
 
 
 @dataclass(kw_only=True)
 class LocalState:
-    """What one process knows by itself; it is lost with the process."""
+    """State that only this process has; it is lost when the process ends."""
 
     instance: str
     zone: str
@@ -36,7 +36,7 @@
 
 @dataclass(kw_only=True)
 class NodeState:
-    """The shared state as folded here, and the local state beside it."""
+    """The shared state as folded by this process, and its local state."""
 
     local: LocalState
     fleet: FleetState = field(default_factory=FleetState)
@@ -49,9 +49,9 @@
 
 
 def listens(event_type: type[EventT]) -> Callable[[Listener[EventT]], Listener[EventT]]:
-    """Register a handler of a local event, or of an effect of the fold.
+    """Register a listener for a local event or an effect of the fold.
 
-    A listener changes `node.local` only: `node.fleet` belongs to the fold.
+    A listener may change `node.local` only; `node.fleet` is changed by the fold alone.
     """
 
     def register(listener: Listener[EventT]) -> Listener[EventT]:
@@ -65,7 +65,7 @@
 
 
 def reduce(node: NodeState, event: Event) -> list[Effect]:
-    """Take one event and return all effects, in order; listeners hear the fold's effects too."""
+    """Handle one event and return all effects in order, including those of the listeners."""
     if isinstance(event, LocalEvent):
         return _tell(node, event)
     effects = fold(node.fleet, event)
--- a/heatherkeel/core/reducer.py
+++ b/heatherkeel/core/reducer.py
@@ -1,7 +1,7 @@
-"""The one reducer over the log: `fold(state, record)` decides, its effects are data.
+"""The deterministic reducer over the log: `fold` decides each record and returns its effects.
 
-No I/O, clock or randomness in here. The state is changed in place: the caller owns it, and a
-copy per record would cost more than the decision itself (`docs/design/reducer.md`).
+It uses no I/O, clock or randomness. The caller owns the state, which is changed in place to
+avoid a copy per record (`docs/design/reducer.md`).
 """
 
 from __future__ import annotations
@@ -38,9 +38,9 @@
 
 
 def fold(state: FleetState, record: LogRecord) -> list[Effect]:
-    """Decide one record and return what the world should be told or do.
+    """Decide one record, change the state, and return the effects.
 
-    Raises `OffsetGapError` if the record is not the next one: a skipped record can't be mended
+    Raises `OffsetGapError` if the record is not the next one. A skipped record can't be folded
     later, so the process must rebuild its state.
     """
     if record.offset != state.next_offset:
@@ -48,9 +48,8 @@
     state.next_offset += 1
     state.now_ms = max(state.now_ms, record.at_ms)
     _forget_old_ids(state)
-    # What log time alone brings about comes before the record itself. A record that marks a
-    # snapshot would otherwise hold a state in which it had not happened yet, and whoever
-    # restored it would decide the next record otherwise than all others.
+    # Follow-ups that depend on log time run before the record itself. Otherwise a snapshot taken
+    # by the record would not include them, and an instance that restored it would diverge.
     effects = _follow_up(state, record.offset)
     effects += _take(state, record)
     effects += _follow_up(state, record.offset)
@@ -65,15 +64,15 @@
     envelope = _decode_envelope(record)
     if isinstance(envelope, Skipped):
         return [envelope]
-    # The answer to an append can be lost after the append took effect. The author then sends
-    # the same record again; without this check an edit or a job would be taken twice.
+    # If the answer to a successful append is lost, the author appends the same record again.
+    # Without this check an edit or a job would be applied twice.
     if envelope.id in state.seen:
         return [Duplicate(record_id=envelope.id, offset=record.offset)]
     return _decide(state, record.offset, envelope)
 
 
 def _decode_envelope(record: LogRecord) -> Envelope | Skipped:
-    """Decode an envelope, or say why every reader passes it over."""
+    """Decode an envelope, or return why every reader skips it."""
     if len(record.data) > MAX_RECORD_BYTES:
         return _skip(record, f"{len(record.data)} bytes, at most {MAX_RECORD_BYTES} are read")
     try:
@@ -90,7 +89,7 @@
 
 
 def _decide(state: FleetState, offset: int, envelope: Envelope) -> list[Effect]:
-    """Check lifetime and body, ask the subject's handler, and settle the record."""
+    """Check the lifetime and the body, call the handler of the kind, and settle the record."""
     refusal = _check_lifetime(state, envelope)
     if refusal is not None:
         return [_settle(offset, envelope, refusal)]
@@ -103,7 +102,7 @@
 
 
 def _check_lifetime(state: FleetState, envelope: Envelope) -> Rejected | None:
-    """Refuse a record that came too late, or that would be remembered for too long."""
+    """Reject a record that is past its lifetime, or whose lifetime is too long."""
     if envelope.not_after_ms < state.now_ms:
         return Rejected(reason=RejectReason.EXPIRED, detail=f"not after {envelope.not_after_ms}")
     if envelope.not_after_ms > state.now_ms + MAX_RECORD_LIFETIME_MS:
@@ -137,7 +136,7 @@
 def _remember(
     state: FleetState, offset: int, envelope: Envelope, outcome: Accepted | Rejected
 ) -> None:
-    """Keep an outcome for an author whose process ended, or who was told "may be accepted"."""
+    """Store an outcome so that an author can query it after a restart or a lost answer."""
     state.outcomes[envelope.id] = RecordOutcome(
         offset=offset,
         body_sha256=hashlib.sha256(envelope.body).hexdigest(),
@@ -158,7 +157,7 @@
 
 
 def _forget_old_ids(state: FleetState) -> None:
-    """Forget ids that can't come again; the interval keeps the cost per record small."""
+    """Remove expired ids and their outcomes, at most once per purge interval."""
     if state.now_ms - state.seen_purged_ms < SEEN_PURGE_INTERVAL_MS:
         return
     state.seen_purged_ms = state.now_ms
--- a/heatherkeel/core/registry.py
+++ b/heatherkeel/core/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill: record handlers, follow-ups and invariant checkers."""
+"""Registries of record handlers, follow-ups and invariant checkers, filled by decorators."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RecordKind:
-    """One registered kind of record: how to decode its body, and who decides it.
+    """A registered kind of record, with the decoder and the handler of its body.
 
-    `remembered` keeps its outcomes in `FleetState.outcomes`, for authors that ask later.
+    If `remembered` is set, outcomes are kept in `FleetState.outcomes` for later queries.
     """
 
     kind: str
@@ -47,7 +47,7 @@
 def handles(
     kind: str, body_type: type[BodyT], *, remembered: bool = False
 ) -> Callable[[Handler[BodyT]], Handler[BodyT]]:
-    """Register the handler of one record kind; a handler rejects before it changes anything."""
+    """Register the handler of one record kind; it must not change the state before it rejects."""
 
     def register(handler: Handler[BodyT]) -> Handler[BodyT]:
         if kind in RECORD_KINDS or body_type in KIND_OF_BODY:
@@ -67,7 +67,7 @@
 
 
 def checks(promise: str) -> Callable[[Checker], Checker]:
-    """Register the checker of one promise; tests, replay and measurement share it."""
+    """Register the checker of one promise, for tests, replay and measurement."""
 
     def register(checker: Checker) -> Checker:
         if promise in CHECKERS:
@@ -81,7 +81,7 @@
 def checks_step(promise: str) -> Callable[[StepChecker], StepChecker]:
     """Register a checker that compares the states before and after one record.
 
-    It is given the state before, the effects of the record, and the state after.
+    It receives the state before the record, the effects of the record, and the state after it.
     """
 
     def register(checker: StepChecker) -> StepChecker:
@@ -94,10 +94,10 @@
 
 
 def follows_up(follow_up: FollowUpT) -> FollowUpT:
-    """Register what is looked at before and after every record, also one that is refused.
+    """Register a function that runs before and after every record, also a rejected one.
 
-    Log time moves with any record, and a lease can run out by it. A follow-up is called twice
-    for each record, so it has to return at once when there is nothing to do.
+    Any record advances log time, which can let a lease expire. A follow-up runs twice per
+    record, so it must return quickly when there is nothing to do.
     """
     if follow_up in FOLLOW_UPS:
         raise RegistrationError(f"{follow_up.__name__} is registered twice")
@@ -106,14 +106,14 @@
 
 
 def find_violations(state: FleetState) -> list[Violation]:
-    """Run every registered checker over one state."""
+    """Run every registered checker on one state."""
     return [violation for checker in CHECKERS.values() for violation in checker(state)]
 
 
 def find_step_violations(
     before: FleetState, effects: list[Effect], after: FleetState
 ) -> list[Violation]:
-    """Run every registered step checker over one record."""
+    """Run every registered step checker on one record."""
     return [
         violation
         for checker in STEP_CHECKERS.values()
--- a/heatherkeel/core/state.py
+++ b/heatherkeel/core/state.py
@@ -1,4 +1,4 @@
-"""The shared state that every process folds from the log, alike byte for byte."""
+"""The shared state that every process folds from the log, identical byte for byte."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 @dataclass(kw_only=True)
 class FleetState:
-    """All that the log has decided up to `next_offset`.
+    """The result of all records before `next_offset`.
 
-    Only plain types, so that one canonical encoding serves digests, snapshots and tests.
-    Floats and sets stay out: their bytes would not be the same everywhere.
+    Has plain types only, so that digests, snapshots and tests share one canonical encoding.
+    Floats and sets are excluded because their encoding can differ between processes.
     """
 
     next_offset: int = 0
     now_ms: int = 0
     seen: dict[str, int] = field(default_factory=dict)
-    """Record ids that could still be appended again, with their `not_after_ms`."""
+    """Ids of records that could still be appended again, with their `not_after_ms`."""
     outcomes: dict[str, RecordOutcome] = field(default_factory=dict)
-    """How records of the remembered kinds were decided, by record id, as long as in `seen`."""
+    """Outcomes of records of remembered kinds, by record id; kept as long as the id in `seen`."""
     seen_purged_ms: int = 0
     catalogue: CatalogueState = field(default_factory=CatalogueState)
     membership: MembershipState = field(default_factory=MembershipState)
@@ -47,12 +47,12 @@
 
 
 def canonical_bytes(state: FleetState) -> bytes:
-    """Encode a state so that equal states give equal bytes, whatever the order of its maps."""
+    """Encode a state; equal states give equal bytes, regardless of the order of their maps."""
     return _ENCODER.encode(state)
 
 
 def from_canonical_bytes(data: bytes) -> FleetState:
-    """Decode a state; raises `msgspec.ValidationError` on bytes of another shape."""
+    """Decode a state; raises `msgspec.ValidationError` if the bytes don't match its schema."""
     return _DECODER.decode(data)
 
 
--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -1,4 +1,4 @@
-"""The fold decides alike at every reader and survives whatever stands in the log."""
+"""Tests that the fold is deterministic and tolerates any bytes in the log."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 
 
 def test_the_first_of_two_racing_edits_wins() -> None:
-    # Two operators read version 0 and both write. The log orders their records; the second
-    # author is told the version in force, and its edit changes nothing.
+    # Two operators edit version 0 at the same time. The second edit must be rejected with the
+    # version in force and change nothing.
     state = FleetState()
     first = outcome_of(fold_all(state, put(expected=0)))
     second = outcome_of(fold_all(state, put(expected=0)))
@@ -51,8 +51,8 @@
 
 
 def test_a_record_whose_answer_was_lost_is_taken_once() -> None:
-    # The append took effect, its answer was lost, and the author appended the same record
-    # again. The second copy must neither be refused as stale nor be applied.
+    # The answer to a successful append is lost, and the author appends the record again. The
+    # second copy must be neither rejected as stale nor applied.
     state = FleetState()
     data = put(expected=0, record_id="one")
     fold_all(state, data)
@@ -61,9 +61,8 @@
 
 
 def test_an_outcome_is_remembered_as_long_as_its_record_could_come_again() -> None:
-    # An operator was told "may have been accepted", and asks another entry instance later. The
-    # outcome of its record, and not that of a second copy, has to be there until it is sure
-    # that no copy can be accepted any more.
+    # An operator whose edit may have been accepted queries its outcome later. The outcome of the
+    # first copy must be kept until no copy can be accepted any more.
     state = FleetState()
     fold_all(state, put(expected=0, record_id="one"), put(expected=0, record_id="two"))
     fold_all(state, put(expected=1, record_id="one"))
@@ -76,8 +75,8 @@
 
 
 def test_a_copy_that_comes_after_its_lifetime_is_refused() -> None:
-    # A paused author wakes and sends its record when the fold has forgotten the id. Only the
-    # record's own end of life keeps it from being taken a second time.
+    # A paused author appends its record after the fold has removed the id. Only the lifetime of
+    # the record prevents it from being applied twice.
     state = FleetState()
     data = put(expected=0, record_id="one")
     fold_all(state, data)
