--- a/heatherkeel/core/node.py
+++ b/heatherkeel/core/node.py
@@ -67,12 +67,14 @@
 def reduce(node: NodeState, event: Event) -> list[Effect]:
     """Handle one event and return all effects in order, including those of the listeners."""
     if isinstance(event, LocalEvent):
-        return _tell(node, event)
+        return _notify_listeners(node, event)
     effects = fold(node.fleet, event)
-    answers = [answer for effect in effects for answer in _tell(node, effect)]
-    return effects + answers
+    listener_effects = [
+        listener_effect for effect in effects for listener_effect in _notify_listeners(node, effect)
+    ]
+    return effects + listener_effects
 
 
-def _tell(node: NodeState, event: LocalEvent | Effect) -> list[Effect]:
+def _notify_listeners(node: NodeState, event: LocalEvent | Effect) -> list[Effect]:
     listeners = LISTENERS.get(type(event), ())
     return [effect for listener in listeners for effect in listener(node, event)]
--- a/heatherkeel/core/reducer.py
+++ b/heatherkeel/core/reducer.py
@@ -47,20 +47,20 @@
         raise OffsetGapError(expected=state.next_offset, found=record.offset)
     state.next_offset += 1
     state.now_ms = max(state.now_ms, record.at_ms)
-    _forget_old_ids(state)
+    _purge_expired_ids(state)
     # Follow-ups that depend on log time run before the record itself. Otherwise a snapshot taken
     # by the record would not include them, and an instance that restored it would diverge.
-    effects = _follow_up(state, record.offset)
-    effects += _take(state, record)
-    effects += _follow_up(state, record.offset)
+    effects = _run_follow_ups(state, record.offset)
+    effects += _process_record(state, record)
+    effects += _run_follow_ups(state, record.offset)
     return effects
 
 
-def _follow_up(state: FleetState, offset: int) -> list[Effect]:
+def _run_follow_ups(state: FleetState, offset: int) -> list[Effect]:
     return [effect for follow_up in FOLLOW_UPS for effect in follow_up(state, offset)]
 
 
-def _take(state: FleetState, record: LogRecord) -> list[Effect]:
+def _process_record(state: FleetState, record: LogRecord) -> list[Effect]:
     envelope = _decode_envelope(record)
     if isinstance(envelope, Skipped):
         return [envelope]
@@ -98,7 +98,7 @@
     if kind is None:
         unknown = Rejected(reason=RejectReason.UNKNOWN_KIND, detail=envelope.kind)
         return [_settle(offset, envelope, unknown)]
-    return _ask_handler(state, offset, envelope, kind)
+    return _call_handler(state, offset, envelope, kind)
 
 
 def _check_lifetime(state: FleetState, envelope: Envelope) -> Rejected | None:
@@ -110,7 +110,7 @@
     return None
 
 
-def _ask_handler(
+def _call_handler(
     state: FleetState, offset: int, envelope: Envelope, kind: RecordKind
 ) -> list[Effect]:
     try:
@@ -128,12 +128,12 @@
     outcome = kind.handler(state, meta, body)
     decided = outcome.ok_value if isinstance(outcome, Ok) else outcome.err_value
     if kind.remembered:
-        _remember(state, offset, envelope, decided)
+        _store_outcome(state, offset, envelope, decided)
     effects = decided.effects if isinstance(decided, Accepted) else ()
     return [_settle(offset, envelope, decided), *effects]
 
 
-def _remember(
+def _store_outcome(
     state: FleetState, offset: int, envelope: Envelope, outcome: Accepted | Rejected
 ) -> None:
     """Store an outcome so that an author can query it after a restart or a lost answer."""
@@ -156,7 +156,7 @@
     )
 
 
-def _forget_old_ids(state: FleetState) -> None:
+def _purge_expired_ids(state: FleetState) -> None:
     """Remove expired ids and their outcomes, at most once per purge interval."""
     if state.now_ms - state.seen_purged_ms < SEEN_PURGE_INTERVAL_MS:
         return
