--- a/tests/core/test_reducer.py
+++ b/tests/core/test_reducer.py
@@ -50,7 +50,7 @@
     assert second.version == 1
 
 
-def test_a_record_whose_answer_was_lost_is_taken_once() -> None:
+def test_record_with_lost_answer_is_applied_once() -> None:
     # The answer to a successful append is lost, and the author appends the record again. The
     # second copy must be neither rejected as stale nor applied.
     state = FleetState()
@@ -60,7 +60,7 @@
     assert state.catalogue.versions == {"stock": 1}
 
 
-def test_an_outcome_is_remembered_as_long_as_its_record_could_come_again() -> None:
+def test_outcome_is_kept_as_long_as_its_record_could_be_repeated() -> None:
     # An operator whose edit may have been accepted queries its outcome later. The outcome of the
     # first copy must be kept until no copy can be accepted any more.
     state = FleetState()
@@ -74,7 +74,7 @@
     assert state.outcomes == {}
 
 
-def test_a_copy_that_comes_after_its_lifetime_is_refused() -> None:
+def test_copy_after_its_lifetime_is_rejected() -> None:
     # A paused author appends its record after the fold has removed the id. Only the lifetime of
     # the record prevents it from being applied twice.
     state = FleetState()
@@ -99,7 +99,7 @@
     assert isinstance(refused, Rejected) and refused.reason is RejectReason.NOT_OWNER
 
 
-def test_state_survives_its_canonical_bytes() -> None:
+def test_state_round_trips_through_canonical_bytes() -> None:
     state = FleetState()
     fold_all(state, put(expected=0))
     data = canonical_bytes(state)
