--- a/heatherkeel/platform/patience.py
+++ b/heatherkeel/platform/adaptive_timeout.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Patience:
+class AdaptiveTimeout:
     """A timeout between two bounds, in seconds; it doubles with each call that times out.
 
     A long fixed timeout would stall callers when answers are lost; a short one would never receive
@@ -33,12 +33,12 @@
         """Return the timeout derived from past answers, in seconds; 0 before the first."""
         return FACTOR * self.average_s
 
-    def take_answer(self, took_s: float) -> None:
+    def record_answer(self, took_s: float) -> None:
         """Record the response time of an answered call, in seconds."""
         self.failures = 0
         self.average_s += WEIGHT * (took_s - self.average_s)
 
-    def take_silence(self) -> None:
+    def record_timeout(self) -> None:
         """Record a call that timed out."""
         if self.timeout_s() < self.longest_s:
             self.failures += 1
--- a/heatherkeel/platform/store.py
+++ b/heatherkeel/platform/store.py
@@ -10,10 +10,10 @@
 import trio
 from result import Err, Ok, Result
 
+from .adaptive_timeout import AdaptiveTimeout
 from .caller import HttpCaller, Reply
 from .errors import CallError, Failure
 from .framing import FramingError, KeyedRecord, decode_read, encode_records
-from .patience import Patience
 from .route import DirectRoute, StoreCall, StoreRoute
 from .store_answers import (
     GroupAssignment,
@@ -93,9 +93,11 @@
         self.writes = HttpCaller(address=address, connections=8)
         self.reads = HttpCaller(address=address, connections=24)
         self.membership = HttpCaller(address=address, connections=2)
-        self.write_patience = Patience(shortest_s=SHORTEST_TIMEOUT_S, longest_s=WRITE_TIMEOUT_S)
-        self.join_patience = Patience(shortest_s=SHORTEST_TIMEOUT_S, longest_s=JOIN_TIMEOUT_S)
-        self.read_patience = Patience(shortest_s=SHORTEST_TIMEOUT_S, longest_s=READ_TIMEOUT_S)
+        self.write_timeout = AdaptiveTimeout(
+            shortest_s=SHORTEST_TIMEOUT_S, longest_s=WRITE_TIMEOUT_S
+        )
+        self.join_timeout = AdaptiveTimeout(shortest_s=SHORTEST_TIMEOUT_S, longest_s=JOIN_TIMEOUT_S)
+        self.read_timeout = AdaptiveTimeout(shortest_s=SHORTEST_TIMEOUT_S, longest_s=READ_TIMEOUT_S)
         """Learned from reads, and used only to estimate how slow the store is."""
         self.health: dict[tuple[str, int], PartitionHealth] = {}
 
@@ -135,7 +137,7 @@
         called = await self._async_post(
             self.writes, target, encode_records(records), timeout_s=timeout_s
         )
-        _learn(self.write_patience, called, trio.current_time() - began_s)
+        _update_timeout(self.write_timeout, called, trio.current_time() - began_s)
         checked = called.and_then(check)
         self.find_health(topic, partition).take(checked)
         return Err(checked.err_value) if isinstance(checked, Err) else Ok(None)
@@ -146,8 +148,8 @@
         Most processes write rarely. A timeout learned from appends alone would be too short for a
         store that has become slow, and the retries would overload its partitions.
         """
-        others_s = max(self.join_patience.learned_s(), self.read_patience.learned_s())
-        return max(self.write_patience.timeout_s(), min(WRITE_TIMEOUT_S, others_s))
+        others_s = max(self.join_timeout.learned_s(), self.read_timeout.learned_s())
+        return max(self.write_timeout.timeout_s(), min(WRITE_TIMEOUT_S, others_s))
 
     async def async_read(
         self, topic: str, partition: int, *, start: int, wait_ms: int
@@ -215,11 +217,11 @@
             }
         )
         began_s = trio.current_time()
-        timeout_s = self.join_patience.timeout_s()
+        timeout_s = self.join_timeout.timeout_s()
         called = await self._async_post(
             self.membership, "/heatherkeel/log-join", body, timeout_s=timeout_s
         )
-        _learn(self.join_patience, called, trio.current_time() - began_s)
+        _update_timeout(self.join_timeout, called, trio.current_time() - began_s)
         decoded = decode(called.and_then(check), Joined)
         if isinstance(decoded, Err):
             return decoded
@@ -252,7 +254,7 @@
         began_s = trio.current_time()
         called = await self.route.async_call(self.reads, call)
         if not call.waits:
-            _learn(self.read_patience, called, trio.current_time() - began_s)
+            _update_timeout(self.read_timeout, called, trio.current_time() - began_s)
         return called
 
     async def _async_post(
@@ -262,8 +264,10 @@
         return await self.route.async_call(caller, call)
 
 
-def _learn(patience: Patience, called: Result[Reply, CallError], took_s: float) -> None:
+def _update_timeout(
+    timeout: AdaptiveTimeout, called: Result[Reply, CallError], took_s: float
+) -> None:
     if isinstance(called, Ok):
-        patience.take_answer(took_s)
+        timeout.record_answer(took_s)
     elif called.err_value.failure is Failure.UNKNOWN:
-        patience.take_silence()
+        timeout.record_timeout()
--- a/heatherkeel/platform/workers.py
+++ b/heatherkeel/platform/workers.py
@@ -9,9 +9,9 @@
 import trio
 from result import Err, Ok, Result
 
+from .adaptive_timeout import AdaptiveTimeout
 from .caller import HttpCaller, Reply
 from .errors import CallError, Failure
-from .patience import Patience
 
 START_TIMEOUT_S: Final = 1.0
 """Timeout of an order, in seconds; after it the task can be started elsewhere."""
@@ -87,7 +87,9 @@
         self.worker_id = worker_id
         self.caller = HttpCaller(address=address, connections=CONNECTIONS)
         self.headers = [(_INSTANCE_HEADER, worker_id)]
-        self.patience = Patience(shortest_s=SHORTEST_LIST_TIMEOUT_S, longest_s=LIST_TIMEOUT_S)
+        self.list_timeout = AdaptiveTimeout(
+            shortest_s=SHORTEST_LIST_TIMEOUT_S, longest_s=LIST_TIMEOUT_S
+        )
 
     async def close(self) -> None:
         """Close all connections."""
@@ -133,8 +135,8 @@
             body["waitMs"] = wait_ms
         wait_s = wait_ms / 1000
         began_s = trio.current_time()
-        answered = await self._async_call("hold", body, self.patience.timeout_s() + wait_s)
-        self._learn(answered, trio.current_time() - began_s - wait_s)
+        answered = await self._async_call("hold", body, self.list_timeout.timeout_s() + wait_s)
+        self._update_timeout(answered, trio.current_time() - began_s - wait_s)
         if isinstance(answered, Err):
             return answered
         answer = answered.ok_value
@@ -150,13 +152,13 @@
         except (ValueError, TypeError, LookupError) as err:
             return Err(CallError(failure=Failure.INVALID, detail=f"listing: {err!r}"))
 
-    def _learn(self, answered: Result[_Answer, CallError], beyond_s: float) -> None:
+    def _update_timeout(self, answered: Result[_Answer, CallError], beyond_s: float) -> None:
         """Update the timeout by the time beyond the wait, which an ended task may cut short."""
         if isinstance(answered, Err):
             if answered.err_value.failure is Failure.UNKNOWN:
-                self.patience.take_silence()
+                self.list_timeout.record_timeout()
         else:
-            self.patience.take_answer(max(beyond_s, 0.0))
+            self.list_timeout.record_answer(max(beyond_s, 0.0))
 
     async def _async_order(self, name: str, body: dict[str, Any]) -> Result[int, CallError]:
         answered = await self._async_call(name, body, START_TIMEOUT_S)
