--- a/heatherkeel/gateway/exchange.py
+++ b/heatherkeel/gateway/exchange.py
@@ -182,7 +182,7 @@
         be carried out seconds later.
         """
         is_unknown = False
-        if self.parts.store.find_health(JOBS_TOPIC, partition).is_away():
+        if self.parts.store.find_health(JOBS_TOPIC, partition).is_unavailable():
             await self._async_refuse(Refusal.STORE_AWAY, job_id=job_id, retry_s=RETRY_AWAY_S)
             return Refusal.STORE_AWAY
         while True:
--- a/heatherkeel/platform/caller.py
+++ b/heatherkeel/platform/caller.py
@@ -23,7 +23,7 @@
 After a plain close the kernel continues to send the unsent bytes, so an order that timed out in a
 network partition could reach its machine later than the orders of the next owner.
 """
-_GIVE_UP_SENDING: Final = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 2000)
+_ACKNOWLEDGEMENT_TIMEOUT: Final = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 2000)
 """Closes a connection whose bytes have not been acknowledged for 2,000 ms."""
 
 
@@ -49,7 +49,7 @@
             keepalive_expiry=KEEP_ALIVE_S,
             retries=0,
             http2=False,
-            socket_options=[_RESET_ON_CLOSE, _GIVE_UP_SENDING],
+            socket_options=[_RESET_ON_CLOSE, _ACKNOWLEDGEMENT_TIMEOUT],
         )
 
     async def close(self) -> None:
--- a/heatherkeel/platform/store.py
+++ b/heatherkeel/platform/store.py
@@ -39,11 +39,11 @@
 """Longest timeout of a renewal, in seconds; shorter than the lifetime of a membership."""
 PEER_CONNECTIONS: Final = 24
 """Connections for calls on behalf of peers, most of which wait for records."""
-AWAY_FAILURES: Final = 3
+UNAVAILABLE_FAILURES: Final = 3
 """Consecutive failed writes after which the store counts as unavailable for a partition."""
 PROBE_INTERVAL_S: Final = 0.25
 """Interval of trial writes while the store is unavailable, in seconds."""
-_TROUBLE: Final = frozenset({Failure.REFUSED, Failure.UNKNOWN})
+_WRITE_FAILURES: Final = frozenset({Failure.REFUSED, Failure.UNKNOWN})
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -64,21 +64,21 @@
     failed_s: float = 0.0
     """Time of the last failure, in seconds of trio's clock."""
 
-    def take(self, checked: Result[Reply, CallError]) -> None:
+    def record_write(self, checked: Result[Reply, CallError]) -> None:
         """Record the result of a write; one that was refused for its content counts as answered."""
-        if isinstance(checked, Err) and checked.err_value.failure in _TROUBLE:
+        if isinstance(checked, Err) and checked.err_value.failure in _WRITE_FAILURES:
             self.failures += 1
             self.failed_s = trio.current_time()
         else:
             self.failures = 0
 
-    def is_away(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Return whether a write would very likely fail.
 
         One write per `PROBE_INTERVAL_S` is still sent, and its success ends this state.
         """
         return (
-            self.failures >= AWAY_FAILURES
+            self.failures >= UNAVAILABLE_FAILURES
             and trio.current_time() - self.failed_s < PROBE_INTERVAL_S
         )
 
@@ -88,7 +88,7 @@
 
     def __init__(self, *, address: str, route: StoreRoute | None = None) -> None:
         self.route = route or DirectRoute()
-        self.for_peers = HttpCaller(address=address, connections=PEER_CONNECTIONS)
+        self.peer_calls = HttpCaller(address=address, connections=PEER_CONNECTIONS)
         """Used for calls on behalf of other processes."""
         self.writes = HttpCaller(address=address, connections=8)
         self.reads = HttpCaller(address=address, connections=24)
@@ -103,12 +103,12 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        for caller in (self.writes, self.reads, self.membership, self.for_peers):
+        for caller in (self.writes, self.reads, self.membership, self.peer_calls):
             await caller.close()
 
     async def async_make(self, call: StoreCall) -> Result[Reply, CallError]:
         """Make a direct call on behalf of another process."""
-        return await DirectRoute().async_call(self.for_peers, call)
+        return await DirectRoute().async_call(self.peer_calls, call)
 
     def find_health(self, topic: str, partition: int) -> PartitionHealth:
         """Return the health of this process's writes to a partition."""
@@ -139,7 +139,7 @@
         )
         _update_timeout(self.write_timeout, called, trio.current_time() - began_s)
         checked = called.and_then(check)
-        self.find_health(topic, partition).take(checked)
+        self.find_health(topic, partition).record_write(checked)
         return Err(checked.err_value) if isinstance(checked, Err) else Ok(None)
 
     def _write_timeout_s(self) -> float:
