--- a/heatherkeel/platform/store.py
+++ b/heatherkeel/platform/store.py
@@ -106,7 +106,7 @@
         for caller in (self.writes, self.reads, self.membership, self.peer_calls):
             await caller.close()
 
-    async def async_make(self, call: StoreCall) -> Result[Reply, CallError]:
+    async def async_call_for_peer(self, call: StoreCall) -> Result[Reply, CallError]:
         """Make a direct call on behalf of another process."""
         return await DirectRoute().async_call(self.peer_calls, call)
 
--- a/heatherkeel/relay/answering.py
+++ b/heatherkeel/relay/answering.py
@@ -33,7 +33,7 @@
             return RelayAnswer(failure=Failure.REFUSED, detail=refusal.value)
         self.under_way += 1
         try:
-            answer = await self.store.async_make(call)
+            answer = await self.store.async_call_for_peer(call)
         finally:
             self.under_way -= 1
         if isinstance(answer, Err):
--- a/tests/relay/test_answering.py
+++ b/tests/relay/test_answering.py
@@ -27,7 +27,7 @@
         self.body = body
         self.made: list[StoreCall] = []
 
-    async def async_make(self, call: StoreCall) -> Result[Reply, CallError]:
+    async def async_call_for_peer(self, call: StoreCall) -> Result[Reply, CallError]:
         self.made.append(call)
         return Ok(Reply(status=200, body=self.body))
 
