--- a/heatherkeel/fleetlog/__init__.py
+++ b/heatherkeel/fleetlog/__init__.py
@@ -1,1 +1,1 @@
-"""The product's own log, for processes without the users' platform: client, writer, follower."""
+"""Client, writer and follower of the project's own log, used without the users' platform."""
--- a/heatherkeel/fleetlog/client.py
+++ b/heatherkeel/fleetlog/client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform over HTTP; none is ever repeated here."""
+"""HTTP client of the log's platform; it never retries."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 _STATUS_NOT_MODIFIED = 304
 _STATUS_GONE = 410
 _STATUS_REQUEST_TIMEOUT = 408
-_REFUSED_FOR_NOW = (429, 503)
+_REFUSED_STATUSES = (429, 503)
 
 
 class PlatformClient:
-    """One process's way to the platform."""
+    """Client of the platform."""
 
     def __init__(self, *, address: str, instance: str, zone: str, timeout_ms: int) -> None:
         self.base_url = f"http://{address}"
@@ -46,22 +46,22 @@
     async def async_append(
         self, stream: str, records: list[bytes]
     ) -> Result[Appended, PlatformError]:
-        """Append records in order; an UNKNOWN failure may have taken effect."""
+        """Append records in order; with an UNKNOWN failure the append may have taken effect."""
         body = _ENCODER.encode(AppendRequest(records=records))
         return await self.async_call("POST", f"/streams/{stream}/records", Appended, body)
 
     async def async_read(
         self, stream: str, *, offset: int, max_records: int, wait_ms: int
     ) -> Result[ReadAnswer, PlatformError]:
-        """Read from an offset on, waiting up to `wait_ms` for the first record."""
+        """Read from an offset, waiting up to `wait_ms` for the first record."""
         path = f"/streams/{stream}/records?from={offset}&max={max_records}&wait_ms={wait_ms}"
         return await self.async_call("GET", path, ReadAnswer, wait_s=wait_ms / 1000)
 
     async def async_list_instances(self) -> Result[InstanceList, PlatformError]:
-        """Read the platform's list of instances; one that hasn't changed isn't sent again.
+        """Read the platform's list of instances with a conditional request.
 
-        It is read several times a second by every process. With thousands of workers the whole
-        list would cost megabytes a second each (RFC 9110, section 13.1.2).
+        Every process polls the list several times a second, so an unchanged list isn't sent again
+        (RFC 9110, section 13.1.2).
         """
         known = [("if-none-match", self.list_etag)] if self.list_etag else []
         exchanged = await self._async_exchange("GET", "/instances", headers=known)
@@ -79,7 +79,7 @@
     async def async_operate(
         self, instance: str, *, operation_id: str, request: OperationRequest
     ) -> Result[OperationStatus, PlatformError]:
-        """Ask for an operation, or how far it is; a repeat under the same id has no effect."""
+        """Request an operation or read its state; a repeat with the same id has no effect."""
         path = f"/instances/{instance}/operations/{operation_id}"
         return await self.async_call("PUT", path, OperationStatus, _ENCODER.encode(request))
 
@@ -91,7 +91,7 @@
         body: bytes | None = None,
         wait_s: float = 0.0,
     ) -> Result[ModelT, PlatformError]:
-        """Make one call, and decode the answer as a model."""
+        """Make one call and decode the response as a model."""
         exchanged = await self._async_exchange(method, path, body=body, wait_s=wait_s)
         if isinstance(exchanged, Err):
             return exchanged
@@ -121,7 +121,7 @@
 
 
 def _find_etag(response: httpcore.Response) -> str:
-    """Return the answer's validator, empty if the platform gives none."""
+    """Return the response's ETag, or an empty string if there is none."""
     for name, value in response.headers:
         if name.lower() == b"etag":
             return value.decode("latin-1")
@@ -141,12 +141,12 @@
 
 
 def _failure_of(status: int) -> PlatformFailure:
-    """Say what is known after an error answer.
+    """Return what an error status says about the call.
 
-    A gateway answers 500, 502 or 504 when the store behind it was slow, and the append may have
-    been stored all the same. Only what the platform's interface names as refused is so.
+    A gateway may answer 500, 502 or 504 although the store behind it has stored the append. Only
+    the statuses that the platform documents as refusals mean that nothing was done.
     """
-    if status in _REFUSED_FOR_NOW:
+    if status in _REFUSED_STATUSES:
         return PlatformFailure.REFUSED
     if status >= 500 or status == _STATUS_REQUEST_TIMEOUT:
         return PlatformFailure.UNKNOWN
@@ -154,7 +154,7 @@
 
 
 def _decode_gone(response: httpcore.Response) -> PlatformError:
-    """Read where the log now begins; a 410 by something in between doesn't say it."""
+    """Decode the oldest retained offset; a 410 from an intermediary doesn't contain it."""
     try:
         oldest = msgspec.json.decode(response.content, type=ReadAnswer).oldest
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
--- a/heatherkeel/fleetlog/errors.py
+++ b/heatherkeel/fleetlog/errors.py
@@ -1,4 +1,4 @@
-"""How a call to the platform can fail."""
+"""Errors of calls to the platform."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
     """What is known about a failed call."""
 
     NOT_SENT = "not_sent"
-    """No connection: the call surely had no effect."""
+    """No connection: the call had no effect."""
     UNKNOWN = "unknown"
     """Sent, but no answer: it may have taken effect."""
     REFUSED = "refused"
-    """The platform refused for now (429, 503): the call had no effect, a later one may."""
+    """Temporarily refused (429, 503): the call had no effect; a later one may succeed."""
     INVALID = "invalid"
-    """The platform refused this very call (other 4xx): it had no effect and never will."""
+    """Rejected (other 4xx): the call had no effect, and repeating it cannot succeed."""
     OUT_OF_RETENTION = "out_of_retention"
-    """The offset that was asked for is no longer kept."""
+    """The requested offset is no longer retained."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlatformError:
-    """A failed call; `oldest` is the first retained offset where that is the reason."""
+    """A failed call; `oldest` is the first retained offset if OUT_OF_RETENTION."""
 
     failure: PlatformFailure
     detail: str = ""
--- a/heatherkeel/fleetlog/follower.py
+++ b/heatherkeel/fleetlog/follower.py
@@ -1,4 +1,4 @@
-"""Reads the log from the next offset on, and hands each record to the reducer."""
+"""Reads the log from the next offset and passes each record to the reducer."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 FIRST_PAUSE_S: Final = 0.1
 LONGEST_PAUSE_S: Final = 2.0
 EMPTY_ANSWER_PAUSE_S: Final = 0.05
-"""Least time between two reads that bring nothing."""
+"""Minimum pause after a read without records, in seconds."""
 
 
 class LogRewrittenError(BrokenInvariantError):
-    """The log has another record at an offset that was folded here: the state is not the log's."""
+    """The log has another record at an offset that was folded: the state differs from the log."""
 
 
 class LogFollower:
-    """Keeps the state of this process at the end of the log, while the platform answers."""
+    """Follows the end of the log and folds its records while the platform answers."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         self.caught_up = trio.Event()
         self.reachable = False
         self.heard_at_ms: int | None = None
-        """Monotonic time of the log's last answer."""
+        """Monotonic time of the log's last response, in milliseconds."""
         self.out_of_retention = False
         self.oldest = 0
         self.last_record: LogRecord | None = None
@@ -64,82 +64,81 @@
         self.backoff = Backoff(first_s=FIRST_PAUSE_S, limit_s=LONGEST_PAUSE_S)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin to follow the log in the background."""
+        """Start to follow the log in the background."""
         nursery.start_soon(self._async_run)
 
     def note_folded(self, record: LogRecord) -> None:
-        """Hear of a record that was folded but not read from the log: a peer relayed it."""
+        """Record that a record was folded that a peer relayed and the log hasn't confirmed."""
         self.last_record = record
         self.in_doubt = True
 
     def forget_records(self) -> None:
-        """Hear that the state was replaced."""
+        """Forget the last record, because the state was replaced."""
         self.last_record = None
         self.in_doubt = False
 
     async def _async_run(self) -> None:
         while True:
-            # Before the first answer after an outage nothing is waited for, so that a reachable
-            # platform is known at once.
+            # The first read after an outage doesn't wait for records, so that a reachable platform
+            # is detected immediately.
             wait_ms = self.wait_ms if self.caught_up.is_set() and self.reachable else 0
-            offset = self.next_offset() - (1 if self._must_check() else 0)
+            offset = self.next_offset() - (1 if self._must_compare() else 0)
             outcome = await self.client.async_read(
                 self.stream, offset=offset, max_records=MAX_READ_RECORDS, wait_ms=wait_ms
             )
             match outcome:
                 case Ok(answer):
-                    await self._async_take_all(answer)
+                    await self._async_apply_answer(answer)
                 case Err(error):
-                    await self._async_pause(error)
+                    await self._async_handle_error(error)
 
-    def _must_check(self) -> bool:
+    def _must_compare(self) -> bool:
         return self.in_doubt and self.last_record is not None
 
-    async def _async_take_all(self, answer: ReadAnswer) -> None:
+    async def _async_apply_answer(self, answer: ReadAnswer) -> None:
         self.reachable = True
         self.heard_at_ms = monotonic_ms()
         self.out_of_retention = False
         self.oldest = answer.oldest
         self.clock.hear(answer.now_ms)
         if answer.next < self.next_offset():
-            await self._async_distrust(answer)
+            await self._async_handle_truncated_log(answer)
             return
         records = [
             LogRecord(offset=stored.offset, at_ms=stored.at_ms, data=stored.data)
             for stored in answer.records
         ]
-        if self._must_check():
-            self._compare(records)
+        if self._must_compare():
+            self._compare_last_record(records)
         for record in records:
-            self._take(record)
+            self._fold(record)
         self.backoff.reset()
         if self.next_offset() >= answer.next:
             self.caught_up.set()
-        # A platform that answers at once with nothing, whatever it was asked to wait, would
-        # otherwise be asked again without a pause by every process.
+        # Prevents a busy loop if the platform answers without records and without waiting.
         if not records:
             await trio.sleep(EMPTY_ANSWER_PAUSE_S)
 
-    def _take(self, record: LogRecord) -> None:
-        # A relayed record may have been folded while the answer with the same one was on its way.
+    def _fold(self, record: LogRecord) -> None:
+        # A peer may have relayed the same record while this response was in transit.
         if record.offset < self.next_offset():
             return
         self.take(record)
         self.last_record = record
 
-    async def _async_distrust(self, answer: ReadAnswer) -> None:
-        """Take nothing from a log that ends before what was folded from it.
+    async def _async_handle_truncated_log(self, answer: ReadAnswer) -> None:
+        """Fold nothing from a log that ends before the last folded record.
 
-        A lagging copy of the log catches up again. A log that lost records will give their
-        offsets to others, so the last folded record is compared before the next one is taken.
+        A lagging replica catches up again. A log that lost records assigns their offsets to other
+        records, so the last folded record is compared before the next one is folded.
         """
         self.in_doubt = True
         extra = {"event": "log_went_back", "end": answer.next, "next_offset": self.next_offset()}
-        _LOGGER.error("the log ends before what was read from it", extra=extra)
+        _LOGGER.error("the log ends before the last record that was read from it", extra=extra)
         await trio.sleep(self.backoff.next_s())
 
-    def _compare(self, records: list[LogRecord]) -> None:
-        """Check the last record that was folded without certainty against the log."""
+    def _compare_last_record(self, records: list[LogRecord]) -> None:
+        """Compare the last folded record with the log; raises `LogRewrittenError`."""
         last = self.last_record
         if last is None:
             return
@@ -150,26 +149,25 @@
             raise LogRewrittenError(f"another record at offset {last.offset}")
         self.in_doubt = False
 
-    async def _async_pause(self, error: PlatformError) -> None:
-        # Records between here and the oldest retained one may have changed anything; to go on
-        # from the oldest would silently lose accepted edits.
+    async def _async_handle_error(self, error: PlatformError) -> None:
+        # Continuing from the oldest retained record would silently lose accepted edits.
         if error.failure is PlatformFailure.OUT_OF_RETENTION:
-            await self._async_hear_gone(error.oldest)
+            await self._async_handle_out_of_retention(error.oldest)
             return
         self.reachable = False
         _LOGGER.warning("read failed: %s", error.detail, extra={"event": "log_read_failed"})
         await trio.sleep(self.backoff.next_s())
 
-    async def _async_hear_gone(self, oldest: int) -> None:
-        """Rebuild, unless only the record that was to be compared is no longer kept.
+    async def _async_handle_out_of_retention(self, oldest: int) -> None:
+        """Rebuild the state, unless only the record to compare is no longer retained.
 
-        The next offset can then still be read, and to wait for a newer snapshot would stop this
-        process without need. A state that differs is found by the digest of the next snapshot.
+        The next offset can then still be read, and waiting for a newer snapshot isn't necessary.
+        The digest of the next snapshot detects a state that differs.
         """
-        if self._must_check() and oldest <= self.next_offset():
+        if self._must_compare() and oldest <= self.next_offset():
             self.in_doubt = False
             extra = {"event": "relay_not_compared", "offset": self.next_offset() - 1}
-            _LOGGER.warning("a relayed record is no longer kept by the log", extra=extra)
+            _LOGGER.warning("a relayed record is no longer retained by the log", extra=extra)
             return
         await self._async_rebuild(oldest)
 
@@ -181,6 +179,6 @@
             "next_offset": self.next_offset(),
             "oldest": oldest,
         }
-        _LOGGER.error("the next offset is no longer kept", extra=extra)
+        _LOGGER.error("the next offset is no longer retained", extra=extra)
         if not await self.rebuild():
             await trio.sleep(self.backoff.next_s())
--- a/heatherkeel/fleetlog/models.py
+++ b/heatherkeel/fleetlog/models.py
@@ -14,7 +14,7 @@
 
 
 class Appended(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the first of the records stands, and the log's time in milliseconds."""
+    """Offset of the first appended record, and the log's time in milliseconds."""
 
     first_offset: int
     now_ms: int
@@ -29,7 +29,7 @@
 
 
 class ReadAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Records from an offset on; `oldest` is the first retained one, `next` the end."""
+    """Records from an offset on; `oldest` is the first retained offset, `next` the end."""
 
     oldest: int
     next: int
@@ -38,7 +38,7 @@
 
 
 class ListedState(StrEnum):
-    """What the platform's lagging list says of an instance."""
+    """State of an instance in the platform's list, which may be outdated."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -47,7 +47,7 @@
 
 
 class ListedInstance(msgspec.Struct, frozen=True, kw_only=True):
-    """One line of the platform's list; memory in MiB."""
+    """One entry of the platform's list; memory in MiB."""
 
     id: str
     role: str
@@ -63,23 +63,23 @@
 
 
 class InstanceList(msgspec.Struct, frozen=True, kw_only=True):
-    """The platform's list, as old as its lag."""
+    """The platform's list of instances, which may be outdated."""
 
     instances: list[ListedInstance]
 
 
 class OperationAction(StrEnum):
-    """What the platform can do to an instance."""
+    """Operations of the platform on an instance."""
 
     REBOOT = "reboot"
     STOP = "stop"
 
 
 class OperationRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """An operation on one boot of an instance; repeats under one id take effect once.
+    """An operation on one boot of an instance; repeats with the same id take effect once.
 
-    It takes effect only while `boot_id` runs: an operation that the platform carries out late
-    must not end a boot that has come back into service since. Empty stands for any boot.
+    It takes effect only while `boot_id` runs, so that a delayed operation doesn't end a later
+    boot. An empty `boot_id` matches any boot.
     """
 
     action: OperationAction
@@ -87,16 +87,16 @@
 
 
 class OperationState(StrEnum):
-    """How far an operation is."""
+    """Progress of an operation."""
 
     RUNNING = "running"
     DONE = "done"
     OVERTAKEN = "overtaken"
-    """The boot that it named had ended before: it had no effect and never will."""
+    """The requested boot had already ended: the operation had no effect and never will."""
 
 
 class OperationStatus(msgspec.Struct, kw_only=True):
-    """An operation, and when it is done, the boot that came after it."""
+    """State of an operation, and the new boot when it is done."""
 
     id: str
     instance: str
--- a/heatherkeel/fleetlog/pending.py
+++ b/heatherkeel/fleetlog/pending.py
@@ -1,4 +1,4 @@
-"""A record on its way into the log, and what its author is told."""
+"""Records that wait to be appended, and the results returned to their authors."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 class WriteFailure(StrEnum):
-    """Why an author doesn't know its record as decided."""
+    """Why the decision on a record is not known to its author."""
 
     NOT_APPENDED = "not_appended"
-    """The record surely is not in the log and never will be."""
+    """The record is not in the log and never will be."""
     UNKNOWN = "unknown"
-    """The record may have been accepted, or may be before its lifetime ends."""
+    """The record may have been accepted, or may still be before its lifetime ends."""
     TOO_LARGE = "too_large"
     OVERLOADED = "overloaded"
 
 
 @dataclass(kw_only=True, eq=False)
 class PendingRecord:
-    """A record on its way into the log."""
+    """A record that waits for its append or its decision."""
 
     envelope: Envelope
     data: bytes
     sent: bool = False
-    perhaps_appended: bool = False
-    """An earlier append of it got no answer, so it may stand in the log."""
-    alone: bool = False
-    """Sent in a batch of its own: the platform refused one that held it."""
+    may_be_appended: bool = False
+    """An earlier append of it got no answer, so it may be in the log."""
+    is_separate: bool = False
+    """Sent in a separate batch, because the platform rejected a batch that contained it."""
     authors: int = 0
     settled: Settled | None = None
     failure: WriteFailure | None = None
@@ -41,10 +41,10 @@
     def finish(
         self, *, settled: Settled | None = None, failure: WriteFailure | None = None
     ) -> None:
-        """Wake the authors with the decision or the failure; the first one stands.
+        """Wake the authors with the decision or the failure; only the first result counts.
 
-        The record can be read back while its append is still without an answer. Were the lost
-        answer taken after that, an accepted edit would be called unknown.
+        The record can be read back before its append fails with a lost answer, which must not
+        turn an accepted edit into an unknown one.
         """
         if self.done.is_set():
             return
@@ -53,7 +53,7 @@
         self.done.set()
 
     def conclude(self) -> Result[Settled, WriteFailure]:
-        """Return what an author that waits no longer is told."""
+        """Return the result for an author that has stopped waiting."""
         if self.settled is not None:
             return Ok(self.settled)
         if self.failure is not None:
--- a/heatherkeel/fleetlog/task_client.py
+++ b/heatherkeel/fleetlog/task_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's task interface; none is ever repeated here."""
+"""Client of the platform's task interface; it never retries."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 
 class TaskClient:
-    """One process's way to the tasks on the platform's workers."""
+    """Client for the tasks on the platform's workers."""
 
     def __init__(self, *, client: PlatformClient) -> None:
         self.client = client
 
     async def async_list(self, *, after: int) -> Result[TaskList, PlatformError]:
-        """Read the tasks that changed after a point; 0 reads all."""
+        """Read the tasks that changed after a change number; 0 reads all."""
         return await self.client.async_call("GET", f"/tasks?after={after}", TaskList)
 
     async def async_start(self, task: str, request: TaskRequest) -> Result[TaskView, PlatformError]:
-        """Start a task; a repeat under the same id starts nothing."""
+        """Start a task; a repeat with the same id has no effect."""
         return await self._async_send("PUT", _path(task), request)
 
     async def async_stop(self, task: str, instance: str) -> Result[TaskView, PlatformError]:
-        """Stop a task; one that never started is void from then on."""
+        """Stop a task; one that hasn't started becomes void."""
         return await self._async_send("POST", _path(task, "stop"), StopRequest(instance=instance))
 
     async def async_checkpoint(self, task: str) -> Result[TaskView, PlatformError]:
-        """Begin a checkpoint that the task stops at."""
+        """Request a checkpoint, after which the task stops."""
         return await self._async_send("POST", _path(task, "checkpoint"), None)
 
     async def async_throttle(
         self, task: str, request: ThrottleRequest
     ) -> Result[TaskView, PlatformError]:
-        """Hold a task to a share of a core."""
+        """Limit the CPU use of a task."""
         return await self._async_send("POST", _path(task, "throttle"), request)
 
     async def _async_send(
--- a/heatherkeel/fleetlog/tasks.py
+++ b/heatherkeel/fleetlog/tasks.py
@@ -1,8 +1,8 @@
 """Messages of the platform's task interface (`docs/design/jobs.md`).
 
-What we rely on: a task id is started at most once, whatever is asked and however often; a task
-that was stopped before it started, or asked for too late, is void and never starts; and the
-platform remembers a task id for longer than the fold remembers its job.
+The platform guarantees that a task id starts at most once, that a task that was stopped before
+its start or requested too late is void and never starts, and that it remembers a task id for
+longer than the fold remembers its job.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 
 class TaskState(StrEnum):
-    """What the platform knows of a task."""
+    """State of a task on the platform."""
 
     RUNNING = "running"
     ENDED = "ended"
     VOID = "void"
-    """It never started, and never will."""
+    """It has not started and never will."""
     LAPSED = "lapsed"
-    """Its lease lapsed: its worker isn't heard of, and may still run it."""
+    """Its lease has expired: its worker is unresponsive and may still run it."""
     GONE = "gone"
-    """It can't run any more, and nobody knows how far it came."""
+    """It no longer runs, and its progress is unknown."""
 
 
 class ReportedExit(StrEnum):
@@ -36,11 +36,11 @@
     CHECKPOINTED = "checkpointed"
     """Stopped at a checkpoint that was saved."""
     REFUSED = "refused"
-    """The worker would not start it; only with `void`."""
+    """The worker refused to start it; only with `void`."""
 
 
 class TaskRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A start; memory in MiB, `not_after_ms` in the log's time."""
+    """Request to start a task; memory in MiB, `not_after_ms` in the log's time."""
 
     instance: str
     program: str
@@ -52,7 +52,7 @@
 
 
 class TaskView(msgspec.Struct, frozen=True, kw_only=True):
-    """What the platform says of one task; usage lags behind the task."""
+    """One task as reported by the platform; its usage may be outdated."""
 
     task: str
     instance: str
@@ -65,19 +65,19 @@
 
 
 class TaskList(msgspec.Struct, frozen=True, kw_only=True):
-    """Tasks that changed after a point of the platform's own count of changes."""
+    """Tasks that changed after a change number of the platform."""
 
     upto: int
     tasks: list[TaskView]
 
 
 class ThrottleRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold a task to this many thousandths of a core."""
+    """Request to limit a task to this many thousandths of a core."""
 
     cpu_millicores: int
 
 
 class StopRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Stop a task; the worker is named in case the platform never heard of the task."""
+    """Request to stop a task; names the worker in case the platform doesn't know the task."""
 
     instance: str
--- a/heatherkeel/fleetlog/writer.py
+++ b/heatherkeel/fleetlog/writer.py
@@ -1,4 +1,4 @@
-"""Appends records in groups, and tells each author how the fold decided its record."""
+"""Appends records in batches and returns the fold's decision to each author."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class LogWriter:
-    """Group commit: one append at a time carries all records that came meanwhile.
+    """Group commit: one append at a time carries all records that were queued meanwhile.
 
     An append whose answer is lost is sent again with the same record ids; the fold ignores the
-    second copies. An author hears `Settled` only when the record was read back.
+    duplicates. An author gets `Settled` only after the record was read back.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self.backoff = Backoff(first_s=FIRST_PAUSE_S, limit_s=LONGEST_PAUSE_S)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin to append in the background."""
+        """Start to append in the background."""
         nursery.start_soon(self._async_run)
 
     async def async_write(
@@ -64,8 +64,8 @@
         record_id: str | None = None,
         lifetime_ms: int = DEFAULT_RECORD_LIFETIME_MS,
     ) -> Result[Settled, WriteFailure]:
-        """Append one record and wait until the fold here has decided it."""
-        if not self.clock.is_known or self.is_silent:
+        """Append one record and wait until the local fold has decided it."""
+        if not self.clock.is_known or self.is_unresponsive:
             return Err(WriteFailure.NOT_APPENDED)
         envelope = envelopes.seal(
             body,
@@ -82,28 +82,27 @@
         return await self._async_wait(self._enqueue(pending), timeout_s)
 
     @property
-    def is_silent(self) -> bool:
-        """Say whether nothing was heard of the platform since an append got no answer.
+    def is_unresponsive(self) -> bool:
+        """Return whether the platform hasn't responded since an append got no answer.
 
-        Without this, every author would wait for its whole timeout while the platform is down;
-        what can't be decided is refused at once.
+        Writes are then refused immediately instead of waiting for their whole timeout.
         """
         return self.clock.answers == self.answers_at_failure
 
     def settle(self, settled: Settled) -> None:
-        """Hear from the fold how a record was decided."""
+        """Pass the fold's decision on a record to its authors."""
         pending = self.waiting.pop(settled.record_id, None)
         if pending is not None:
             pending.finish(settled=settled)
 
     def hear_duplicate(self, duplicate: Duplicate) -> None:
-        """Hear that a record was decided before its author began to wait for it."""
+        """Handle a record that was decided before its author began to wait for it."""
         pending = self.waiting.pop(duplicate.record_id, None)
         if pending is not None:
             pending.finish(failure=WriteFailure.UNKNOWN)
 
     def _enqueue(self, pending: PendingRecord) -> PendingRecord:
-        """Queue a record; a second author with the same record id waits for the same one."""
+        """Queue a record; a second author with the same record id waits for the queued one."""
         earlier = self.waiting.get(pending.envelope.id)
         if earlier is not None:
             return earlier
@@ -121,14 +120,13 @@
                 await pending.done.wait()
         finally:
             pending.authors -= 1
-            # An author that was cancelled leaves here too; what it left waiting would count
-            # against the limit for ever.
+            # Cancelled authors come here too; their records must not count against the limit.
             if pending.authors == 0:
                 self._abandon(pending)
         return pending.conclude()
 
     def _abandon(self, pending: PendingRecord) -> None:
-        """Forget a record that nobody waits for; one that was never sent is taken back."""
+        """Forget a record without authors, and remove it from the queue if it wasn't sent."""
         if self.waiting.get(pending.envelope.id) is pending:
             del self.waiting[pending.envelope.id]
         if not pending.sent and pending in self.queue:
@@ -145,12 +143,12 @@
             await self._async_append(batch)
 
     def _next_batch(self) -> list[PendingRecord]:
-        """Return the head of the queue, bounded in records and bytes."""
+        """Return the head of the queue, limited in records and bytes."""
         batch: list[PendingRecord] = []
         size = 0
         for pending in self.queue[:MAX_BATCH_RECORDS]:
             size += len(pending.data)
-            if batch and (size > MAX_BATCH_BYTES or pending.alone or batch[0].alone):
+            if batch and (size > MAX_BATCH_BYTES or pending.is_separate or batch[0].is_separate):
                 break
             batch.append(pending)
         return batch
@@ -165,14 +163,14 @@
                 self.clock.hear(appended.now_ms)
                 self.platform_up = True
                 self.backoff.reset()
-                self._drop(batch)
+                self._remove(batch)
             case Err(error):
                 await self._async_fail(batch, error)
 
     async def _async_fail(self, batch: list[PendingRecord], error: PlatformError) -> None:
         _LOGGER.warning("append failed: %s", error.detail, extra={"event": "append_failed"})
         if error.failure is PlatformFailure.INVALID and len(batch) > 1:
-            self._part(batch)
+            self._send_separately(batch)
             return
         self.platform_up = False
         if error.failure is PlatformFailure.UNKNOWN:
@@ -180,34 +178,33 @@
         self._keep_or_fail(batch, error.failure)
         await trio.sleep(self.backoff.next_s())
 
-    def _part(self, batch: list[PendingRecord]) -> None:
-        """Send each record of a batch alone: one that the platform never takes fails alone.
+    def _send_separately(self, batch: list[PendingRecord]) -> None:
+        """Send each record of a rejected batch separately, so that only the invalid one fails.
 
-        Otherwise such a record would stand at the head of the queue until its lifetime ends, and
-        all others of this process would be refused together with it.
+        Otherwise that record would block the queue until its lifetime ends.
         """
         for pending in batch:
-            pending.alone = True
+            pending.is_separate = True
 
-    def _drop(self, batch: list[PendingRecord]) -> None:
+    def _remove(self, batch: list[PendingRecord]) -> None:
         done = {id(pending) for pending in batch}
         self.queue = [pending for pending in self.queue if id(pending) not in done]
 
     def _keep_or_fail(self, batch: list[PendingRecord], failure: PlatformFailure) -> None:
-        """Fail at once what surely is not in the log; send again what may be.
+        """Fail records that are not in the log; keep those that may be, to send them again.
 
-        Only a first try can be called not appended: an earlier one may have taken effect.
+        A record is NOT_APPENDED only if no earlier append of it may have taken effect.
         """
         now_ms = self.clock.now_ms()
         for pending in batch:
             if failure is PlatformFailure.UNKNOWN:
-                pending.perhaps_appended = True
-            if not pending.perhaps_appended:
+                pending.may_be_appended = True
+            if not pending.may_be_appended:
                 self._fail(pending, WriteFailure.NOT_APPENDED)
-            elif self._is_hopeless(pending, failure, now_ms):
+            elif self._must_give_up(pending, failure, now_ms):
                 self._fail(pending, WriteFailure.UNKNOWN)
 
-    def _is_hopeless(self, pending: PendingRecord, failure: PlatformFailure, now_ms: int) -> bool:
+    def _must_give_up(self, pending: PendingRecord, failure: PlatformFailure, now_ms: int) -> bool:
         return (
             failure is PlatformFailure.INVALID
             or pending.envelope.not_after_ms < now_ms
@@ -215,7 +212,7 @@
         )
 
     def _fail(self, pending: PendingRecord, failure: WriteFailure) -> None:
-        self._drop([pending])
+        self._remove([pending])
         if self.waiting.get(pending.envelope.id) is pending:
             del self.waiting[pending.envelope.id]
         pending.finish(failure=failure)
--- a/tests/fleetlog/fake.py
+++ b/tests/fleetlog/fake.py
@@ -1,4 +1,4 @@
-"""A platform in memory behind the client's interface, whose calls fail as they are told to."""
+"""In-memory platform client with planned failures."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from heatherkeel.standins.platform import PlatformStandin
 
 LOST_ANSWER = "lost_answer"
-"""The append takes effect, and its answer is lost."""
+"""The append takes effect, but its answer is lost."""
 
 
 class FakeClient(PlatformClient):
-    """Takes one planned failure per append, and reads until `readable` is false."""
+    """Uses one planned failure per append; reads fail if `readable` is false."""
 
     def __init__(self) -> None:
         super().__init__(address="127.0.0.1:1", instance="e-1", zone="a", timeout_ms=1000)
         self.platform = PlatformStandin()
         self.plan: list[PlatformFailure | str] = []
         self.readable = True
-        self.poison = b"\0never\0"
+        self.invalid_data = b"\0never\0"
         self.refused_stream = ""
         self.batches: list[list[bytes]] = []
         self.on_append: Callable[[], Awaitable[None]] | None = None
@@ -37,7 +37,7 @@
         await trio.lowlevel.checkpoint()
         self.batches.append(records)
         failure = self.plan.pop(0) if self.plan else None
-        if any(self.poison in record for record in records):
+        if any(self.invalid_data in record for record in records):
             failure = PlatformFailure.INVALID
         if stream == self.refused_stream:
             failure = PlatformFailure.REFUSED
--- a/tests/fleetlog/test_follower.py
+++ b/tests/fleetlog/test_follower.py
@@ -1,4 +1,4 @@
-"""The follower folds exactly the log, or says that it can't."""
+"""Tests for the log follower."""
 
 from __future__ import annotations
 
@@ -50,9 +50,9 @@
                 self.follower.start(nursery)
 
 
-def test_an_offset_out_of_retention_is_never_skipped() -> None:
-    # The log dropped records that were not read. Going on from its oldest one would lose
-    # accepted edits; the follower asks for a newer state, again and again, and takes nothing.
+def test_offset_out_of_retention_is_never_skipped() -> None:
+    # Continuing from the oldest retained record would lose accepted edits; the follower must
+    # request a rebuild instead.
     async def scenario() -> None:
         reader = Reader()
         reader.client.platform.faults.retain_records = 2
@@ -64,10 +64,9 @@
     run(scenario)
 
 
-def test_a_log_that_lost_its_end_is_not_taken_for_the_same_log() -> None:
-    # The store comes back from a crash without its last records and gives their offsets to
-    # others. This process has folded the lost ones: its state is no longer the log's, and it
-    # must stop rather than decide otherwise than all other readers.
+def test_rewritten_log_stops_the_follower() -> None:
+    # The log lost records that were folded here and reassigned their offsets. The process must
+    # stop, because its state differs from that of other readers.
     async def scenario() -> None:
         reader = Reader()
         reader.append(b"a", b"b")
@@ -85,9 +84,9 @@
     run(scenario)
 
 
-def test_a_lagging_copy_of_the_log_is_waited_for() -> None:
-    # A read is answered by a copy that lags. Nothing is taken twice, and when the copy has come
-    # up the follower goes on.
+def test_follower_waits_for_lagging_replica() -> None:
+    # Records from a lagging replica must not be folded twice; the follower continues after it
+    # has caught up.
     async def scenario() -> None:
         reader = Reader()
         reader.append(b"a", b"b")
@@ -102,9 +101,8 @@
     run(scenario)
 
 
-def test_a_platform_that_answers_empty_at_once_is_not_asked_without_pause() -> None:
-    # Something between us and the platform answers long polls at once. Without a pause each
-    # process would ask thousands of times a second.
+def test_empty_responses_do_not_cause_a_busy_loop() -> None:
+    # An intermediary that answers long polls immediately must not cause a busy loop.
     async def scenario() -> None:
         reader = Reader()
         reads = 0
@@ -122,9 +120,9 @@
     run(scenario)
 
 
-def test_a_relayed_record_that_the_log_dropped_does_not_stop_the_follower() -> None:
-    # A peer relayed records during a cut. When the log answers again, it no longer keeps the
-    # last of them, but still has the next one. Nothing is lost, so the follower goes on.
+def test_relayed_record_out_of_retention_does_not_stop_the_follower() -> None:
+    # The log no longer retains the last relayed record, but has the next one: the follower must
+    # continue without a rebuild.
     async def scenario() -> None:
         reader = Reader()
         reader.append(b"a", b"b")
@@ -141,9 +139,8 @@
     run(scenario)
 
 
-def test_after_an_outage_processes_do_not_come_back_together() -> None:
-    # The platform is down for a minute, and 50 processes wait for it. Their tries must not fall
-    # into the same moment again and again, nor come more often than every second or so.
+def test_retries_after_an_outage_are_spread_out() -> None:
+    # Retries of many processes after an outage must be spread out and limited in rate.
     async def scenario() -> None:
         starts: list[float] = []
         for _ in range(50):
@@ -156,9 +153,8 @@
     run(scenario)
 
 
-def test_an_answer_that_was_overtaken_by_a_relayed_record_is_not_folded_twice() -> None:
-    # While a read is on its way a peer relays the same record. Folded twice, it would be a gap
-    # in the offsets, and the process would stop.
+def test_relayed_record_is_not_folded_twice() -> None:
+    # A record that a peer relays during a read must not be folded twice.
     async def scenario() -> None:
         reader = Reader()
         reader.append(b"a", b"b")
@@ -167,7 +163,7 @@
         answer: ReadAnswer = reader.client.platform.read(STREAM, 0, 512)
         reader.records.append(record)
         reader.follower.note_folded(record)
-        await reader.follower._async_take_all(answer)
+        await reader.follower._async_apply_answer(answer)
         assert reader.data() == [b"a", b"b"] and not reader.follower.in_doubt
 
     run(scenario)
--- a/tests/fleetlog/test_list.py
+++ b/tests/fleetlog/test_list.py
@@ -1,4 +1,4 @@
-"""The platform's list is sent again only when it has changed."""
+"""Tests for conditional requests of the instance list."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
     )
 
 
-class CountedStandin(PlatformStandin):
-    """Notes the status of each answer, and can leave out the validator."""
+class RecordingStandin(PlatformStandin):
+    """Records the status of each response, and can omit the ETag."""
 
     statuses: list[int]
     with_etag = True
 
     async def __call__(self, scope: Message, receive: Receive, send: Send) -> None:
-        async def send_counted(message: Message) -> None:
+        async def send_recorded(message: Message) -> None:
             if message["type"] == "http.response.start":
                 self.statuses.append(message["status"])
                 if not self.with_etag:
                     message["headers"] = [h for h in message["headers"] if h[0] != b"etag"]
             await send(message)
 
-        await super().__call__(scope, receive, send_counted)
+        await super().__call__(scope, receive, send_recorded)
 
 
 def read_lists(*, with_etag: bool) -> tuple[list[InstanceList], list[int]]:
-    """Read the list when empty, with one line, unchanged, changed, and from a new platform."""
+    """Read the list: empty, with one entry, unchanged, changed, and from a new platform."""
 
     async def async_main() -> tuple[list[InstanceList], list[int]]:
-        standin = CountedStandin()
+        standin = RecordingStandin()
         standin.statuses, standin.with_etag = [], with_etag
         server = HttpServer(app=standin, bind="127.0.0.1:0", graceful_timeout_s=0.1)
         read = []
@@ -66,7 +66,7 @@
     return trio.run(async_main)
 
 
-def test_an_unchanged_list_is_not_sent_again() -> None:
+def test_unchanged_list_is_not_sent_again() -> None:
     read, statuses = read_lists(with_etag=True)
     assert statuses == [200, 200, 304, 200, 200]
     states = [[(item.id, item.state.value) for item in listed.instances] for listed in read]
@@ -79,7 +79,7 @@
     ]
 
 
-def test_a_platform_without_validators_sends_the_whole_list() -> None:
+def test_list_is_sent_in_full_without_etag() -> None:
     read, statuses = read_lists(with_etag=False)
     assert statuses == [200] * 5
     assert [len(listed.instances) for listed in read] == [0, 1, 1, 1, 1]
--- a/tests/fleetlog/test_writer.py
+++ b/tests/fleetlog/test_writer.py
@@ -1,4 +1,4 @@
-"""The writer tells the truth about each record, whatever happens to its append."""
+"""Tests for the log writer: each author gets a correct result when appends fail."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Author:
-    """One writer with its own fold of the log."""
+    """A writer with its own fold of the log."""
 
     def __init__(self) -> None:
         self.client = FakeClient()
@@ -46,7 +46,7 @@
         self.outcomes: dict[int, Outcome] = {}
 
     def read(self) -> None:
-        """Fold all records of the log that are not folded yet."""
+        """Fold all new records of the log."""
         for stored in self.client.platform.read(STREAM, self.state.next_offset, 512).records:
             record = LogRecord(offset=stored.offset, at_ms=stored.at_ms, data=stored.data)
             for effect in fold(self.state, record):
@@ -76,7 +76,7 @@
 def scenario(
     test: Callable[[Author, trio.Nursery], Coroutine[Any, Any, None]],
 ) -> Callable[[], None]:
-    """Run a test with an author whose writer works; its fold reads only when told to."""
+    """Run a test with a running writer; its fold reads only on request."""
 
     def run_scenario() -> None:
         async def main() -> None:
@@ -94,11 +94,11 @@
 
 
 @scenario
-async def test_a_record_read_back_before_its_lost_answer_is_settled(
+async def test_record_read_back_before_its_lost_answer_is_settled(
     author: Author, _: trio.Nursery
 ) -> None:
-    # The append takes effect and the fold reads the record, all before the append's answer,
-    # which is lost. The author must hear the decision, not "unknown".
+    # The record is read back before its append fails with a lost answer. The author must get the
+    # decision, not "unknown".
     async def read() -> None:
         author.read()
 
@@ -108,11 +108,11 @@
 
 
 @scenario
-async def test_a_lost_answer_never_becomes_not_appended(
+async def test_lost_answer_is_never_reported_as_not_appended(
     author: Author, nursery: trio.Nursery
 ) -> None:
-    # The first append takes effect and its answer is lost; the second try finds no connection.
-    # The record stands in the log, so "not appended" would be a lie.
+    # The first append takes effect without an answer and the retry gets no connection. The record
+    # is in the log, so "not appended" would be wrong.
     author.client.plan = [LOST_ANSWER, PlatformFailure.NOT_SENT, PlatformFailure.REFUSED]
     outcome = await author.write(timeout_s=0.5)
     assert outcome == Err(WriteFailure.UNKNOWN) and author.stored() >= 1
@@ -123,13 +123,13 @@
 
 
 @scenario
-async def test_a_record_that_the_platform_never_takes_fails_alone(
+async def test_rejected_record_does_not_fail_its_batch(
     author: Author, nursery: trio.Nursery
 ) -> None:
-    # One record of a group is refused for good by the platform (too large for it, say). The
-    # others must come into the log, in order, and later groups too.
+    # The platform rejects one record of a batch, for example for its size. The others must still
+    # be appended, and later batches too.
     nursery.start_soon(author.follow)
-    author.client.poison = b"never"
+    author.client.invalid_data = b"never"
     async with trio.open_nursery() as writes:
         for number in range(5):
             address = "never" if number == 0 else ""
@@ -139,15 +139,15 @@
 
 
 @scenario
-async def test_a_poisoned_record_that_was_perhaps_appended_blocks_nobody(
+async def test_rejected_record_that_may_be_appended_does_not_block_others(
     author: Author, nursery: trio.Nursery
 ) -> None:
-    # Its first answer is lost, from then on the platform calls it invalid. It stays "unknown";
-    # the records behind it must not be refused together with it until its lifetime ends.
+    # A record gets no answer first and is rejected as invalid later. It stays "unknown" and must
+    # not block the records behind it.
     author.client.plan = [PlatformFailure.UNKNOWN]
     nursery.start_soon(lambda: author.write(0, address="never"))
     await trio.sleep(0.05)
-    author.client.poison = b"never"
+    author.client.invalid_data = b"never"
     author.read()
     nursery.start_soon(author.follow)
     await trio.sleep(0.01)
@@ -156,11 +156,10 @@
 
 
 @scenario
-async def test_cancelled_authors_leave_nothing_behind(
+async def test_records_of_cancelled_authors_are_removed(
     author: Author, nursery: trio.Nursery
 ) -> None:
-    # Callers hang up while their records wait. What they leave must not fill the writer, or it
-    # refuses everybody as overloaded for ever.
+    # Records of cancelled authors must not fill the queue, or the writer stays overloaded.
     with trio.move_on_after(0.1):
         async with trio.open_nursery() as writes:
             for number in range(MAX_PENDING_RECORDS):
@@ -170,11 +169,11 @@
 
 
 @scenario
-async def test_two_authors_of_one_record_hear_the_same(
+async def test_authors_of_the_same_record_get_the_same_result(
     author: Author, nursery: trio.Nursery
 ) -> None:
-    # A caller repeats its request while the first one's claim is on its way: both write a
-    # record with the id of the request. Neither may be left waiting.
+    # A repeated request writes a record with the same id while the first one is pending. Neither
+    # may be left waiting.
     nursery.start_soon(author.follow)
     async with trio.open_nursery() as writes:
         writes.start_soon(lambda: author.write(1, record_id="same"))
@@ -183,11 +182,11 @@
 
 
 @scenario
-async def test_a_record_decided_long_ago_is_unknown_at_once(
+async def test_record_decided_before_is_unknown_immediately(
     author: Author, nursery: trio.Nursery
 ) -> None:
-    # A restarted process writes a record whose id was decided before its start. Nothing will
-    # settle it again, so waiting for the whole timeout would tell no more.
+    # A record whose id was decided before a restart won't be settled again, so its author must
+    # not wait for the whole timeout.
     nursery.start_soon(author.follow)
     assert isinstance(await author.write(1, record_id="same"), Ok)
     started = trio.current_time()
@@ -196,12 +195,11 @@
 
 
 @scenario
-async def test_while_the_platform_is_silent_writes_are_refused_at_once(
+async def test_writes_are_refused_while_platform_is_unresponsive(
     author: Author, nursery: trio.Nursery
 ) -> None:
-    # An append gets no answer, and nothing is heard of the platform. A caller whose request
-    # needs a decision is told "not run" at once instead of after its timeout; when the platform
-    # is heard again, the next one goes through.
+    # While the platform is unresponsive, writes must fail immediately as not appended, and
+    # succeed again once it responds.
     author.client.plan = [PlatformFailure.UNKNOWN] * 2
     await author.write(1, timeout_s=0.05)
     started = trio.current_time()
@@ -214,19 +212,16 @@
 
 
 @scenario
-async def test_before_any_log_time_is_heard_nothing_is_sealed(
-    author: Author, _: trio.Nursery
-) -> None:
-    # A process that never reached the platform knows no log time. A record sealed at 0 would
-    # lie in the log as expired, though its author was told that it may come.
+async def test_nothing_is_sealed_before_log_time_is_known(author: Author, _: trio.Nursery) -> None:
+    # Without a log time, a record would be sealed at 0 and be expired when it is appended.
     author.writer.clock = LogClock()
     assert await author.write(1) == Err(WriteFailure.NOT_APPENDED)
     assert author.stored() == 0
 
 
 @scenario
-async def test_a_batch_is_bounded_in_bytes(author: Author, nursery: trio.Nursery) -> None:
-    # Hundreds of large records in one append would time out together, again and again.
+async def test_batch_size_is_limited_in_bytes(author: Author, nursery: trio.Nursery) -> None:
+    # An append of many large records would time out repeatedly.
     nursery.start_soon(author.follow)
     async with trio.open_nursery() as writes:
         for number in range(20):
@@ -235,9 +230,9 @@
     assert max(sum(map(len, batch)) for batch in author.client.batches) <= 1024 * 1024
 
 
-def test_the_clock_follows_a_log_that_stands_still(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The platform's clock is set back by an hour; the log holds its highest time until then.
-    # An estimate that goes on rising would seal records that live too long, all of them refused.
+def test_clock_follows_constant_log_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    # While the log's time is constant, a rising estimate would give records a lifetime that is
+    # rejected.
     now = [1_000]
     monkeypatch.setattr("heatherkeel.fleetlog.log_clock.monotonic_ms", lambda: now[0])
     clock = LogClock()
@@ -263,9 +258,8 @@
         (410, PlatformFailure.UNKNOWN),
     ],
 )
-def test_error_answers_say_only_what_is_known(status: int, failure: PlatformFailure) -> None:
-    # A gateway between us and a slow store answers 504 after the append was stored. Were that
-    # taken as refused, an author would be told that its record is not in the log.
+def test_error_status_maps_to_failure(status: int, failure: PlatformFailure) -> None:
+    # A gateway may answer 504 after the append was stored, so that isn't a refusal.
     response = httpcore.Response(status, content=b"<html>")
     response.read()
     decoded = client_module._decode(response, Appended)
