--- a/heatherkeel/entry/node.py
+++ b/heatherkeel/entry/node.py
@@ -113,7 +113,7 @@
             return
         self.state.fleet = fleet
         self.follower.forget_records()
-        self.clock.hear_record(fleet.now_ms)
+        self.clock.update_from_record(fleet.now_ms)
         _LOGGER.info(
             "state restored", extra={"event": "state_restored", "next_offset": fleet.next_offset}
         )
@@ -127,7 +127,7 @@
     def take_relayed(self, record: LogRecord) -> None:
         """Fold a record that a peer has read from the log."""
         self.follower.note_folded(record)
-        self.clock.hear_record(record.at_ms)
+        self.clock.update_from_record(record.at_ms)
         self.take_record(record)
 
     def take(self, event: Event) -> list[Effect]:
--- a/heatherkeel/fleetlog/follower.py
+++ b/heatherkeel/fleetlog/follower.py
@@ -100,7 +100,7 @@
         self.heard_at_ms = monotonic_ms()
         self.out_of_retention = False
         self.oldest = answer.oldest
-        self.clock.hear(answer.now_ms)
+        self.clock.update(answer.now_ms)
         if answer.next < self.next_offset():
             await self._async_handle_truncated_log(answer)
             return
--- a/heatherkeel/fleetlog/log_clock.py
+++ b/heatherkeel/fleetlog/log_clock.py
@@ -25,12 +25,12 @@
         """Return whether a log time has been received."""
         return self.received_log_ms > 0
 
-    def hear(self, log_ms: int) -> None:
+    def update(self, log_ms: int) -> None:
         """Update the log's time from a response of the platform."""
         self.answers += 1
-        self.hear_record(log_ms)
+        self.update_from_record(log_ms)
 
-    def hear_record(self, log_ms: int) -> None:
+    def update_from_record(self, log_ms: int) -> None:
         """Update the log's time from a record that a peer relayed."""
         if log_ms < self.received_log_ms:
             return
--- a/heatherkeel/fleetlog/writer.py
+++ b/heatherkeel/fleetlog/writer.py
@@ -160,7 +160,7 @@
         outcome = await self.client.async_append(self.stream, [item.data for item in batch])
         match outcome:
             case Ok(appended):
-                self.clock.hear(appended.now_ms)
+                self.clock.update(appended.now_ms)
                 self.platform_up = True
                 self.backoff.reset()
                 self._remove(batch)
--- a/tests/admin/test_edits.py
+++ b/tests/admin/test_edits.py
@@ -106,7 +106,7 @@
         log = MemoryLog(failure=PlatformFailure.UNKNOWN, lose_answers=True)
         async with open_api(log, caught_up=False) as api:
             node = api.app.node
-            node.clock.hear(1_000)
+            node.clock.update(1_000)
             node.follower.caught_up.set()
             unknown = await api.call("PUT", "/catalogue/desk", POOL)
             assert (unknown.status, unknown.headers["retry-after"]) == (503, "5")
--- a/tests/fleetlog/test_writer.py
+++ b/tests/fleetlog/test_writer.py
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.client = FakeClient()
         self.clock = LogClock()
-        self.clock.hear(self.client.platform.now_ms())
+        self.clock.update(self.client.platform.now_ms())
         self.writer = LogWriter(
             client=self.client, stream=STREAM, author="e-1", clock=self.clock, interval_ms=1
         )
@@ -54,7 +54,7 @@
                     self.writer.settle(effect)
                 if isinstance(effect, Duplicate) and hasattr(self.writer, "hear_duplicate"):
                     self.writer.hear_duplicate(effect)
-        self.clock.hear(self.client.platform.now_ms())
+        self.clock.update(self.client.platform.now_ms())
 
     async def follow(self) -> None:
         while True:
@@ -236,12 +236,12 @@
     now = [1_000]
     monkeypatch.setattr("heatherkeel.fleetlog.log_clock.monotonic_ms", lambda: now[0])
     clock = LogClock()
-    clock.hear(5_000_000)
+    clock.update(5_000_000)
     for _ in range(60):
         now[0] += 60_000
-        clock.hear(5_000_000)
+        clock.update(5_000_000)
     assert clock.now_ms() == 5_000_000
-    clock.hear(4_000_000)
+    clock.update(4_000_000)
     assert clock.now_ms() == 5_000_000
 
 
