--- a/heatherkeel/relay/__init__.py
+++ b/heatherkeel/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to the store through another process, while the store turns this one away."""
+"""Forwards calls to the store through a peer while the store rejects this process."""
--- a/heatherkeel/relay/const.py
+++ b/heatherkeel/relay/const.py
@@ -1,34 +1,30 @@
-"""Times and bounds of calls that go through another process."""
+"""Timeouts and limits of forwarded calls."""
 
 from __future__ import annotations
 
 from typing import Final
 
 FORWARD_MARGIN_S: Final = 0.3
-"""How long an answer through another process may take beyond what the call itself may, in seconds:
-the way there and back takes a few milliseconds, a new connection between processes some tens."""
+"""Added to the timeout of a forwarded call for the connection to the peer, in seconds."""
 LONGEST_FORWARD_S: Final = 0.5
-"""Longest wait for a forwarded call beyond what it waits for records, in seconds; the process
-asked reaches the store in some milliseconds or not at all. A link between processes may go silent
-for good: a reading that met one for its own 3.7 s missed a change of the configuration."""
+"""Longest timeout of a forwarded call beyond its wait for records, in seconds; short, because the
+link to the peer may be dead."""
 PROBE_INTERVAL_S: Final = 1.5
-"""How often a call is tried directly while the store turns this process away, in seconds. Each
-costs the longest wait below where the store doesn't answer at all."""
+"""Interval of direct calls while the store rejects this process, in seconds."""
 PROBE_TIMEOUT_S: Final = 0.3
-"""Longest wait for such a try, in seconds."""
-REST_S: Final = 1.0
-"""Pause after a forwarded call that failed, in seconds. While the store is down for everybody each
-process forwards one call in this time, so the store's load hardly grows."""
-FAILURES_TO_TURN: Final = 2
-"""Calls in a row that the store must refuse or not answer directly, and do through a peer, before
-all go through peers. One may have met a connection that was reset."""
-FAILURES_TO_REST: Final = 2
-"""Forwarded calls in a row that must fail before a process that is turned away rests."""
-OLDEST_MS: Final = 1500
-"""A call that left its process longer ago is not made, in milliseconds. A partition can hold a
-message up for seconds, and a renewal that comes so late would bring a member back that has left."""
-MOST_AT_ONCE: Final = 24
-"""Calls of others that a process makes at the same time; an owner that is turned away needs about
-eight, most of which wait for records."""
-LARGEST_BODY: Final = 512 * 1024
-"""Largest body of a forwarded call or of its answer, in bytes: half of the largest message."""
+"""Timeout of such a direct call, in seconds."""
+FORWARD_PAUSE_S: Final = 1.0
+"""Pause after a forwarded call that failed, in seconds; limits the additional load on a store that
+is down for all processes."""
+FAILURES_BEFORE_FORWARDING: Final = 2
+"""Consecutive calls that fail directly and succeed through a peer before all go through peers;
+a single one may be due to a reset connection."""
+FAILURES_BEFORE_PAUSE: Final = 2
+"""Consecutive failed forwarded calls after which a rejected process pauses forwarding."""
+MAX_CALL_AGE_MS: Final = 1500
+"""Maximum age of a forwarded call, in milliseconds; a renewal that a network partition delayed
+could bring back a member that has left."""
+MAX_CONCURRENT_CALLS: Final = 24
+"""Maximum number of concurrent calls on behalf of peers."""
+MAX_BODY_BYTES: Final = 512 * 1024
+"""Largest body of a forwarded call or of its answer, in bytes; half of the largest message."""
--- a/heatherkeel/relay/metrics.py
+++ b/heatherkeel/relay/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of calls to the store that go through another process."""
+"""Metrics of calls to the store that go through another process."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Forwarded(StrEnum):
-    """How a call went that another process was asked to make."""
+    """Outcome of a call that another process was asked to make."""
 
     ANSWERED = "answered"
     FAILED = "failed"
 
 
 class Served(StrEnum):
-    """How a call went that another process asked for."""
+    """Outcome of a call that another process asked for."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -26,7 +26,7 @@
 
 
 class RelayMetrics:
-    """What is counted as it happens; every outcome shows from the start as 0."""
+    """Counters of forwarded and served calls; every outcome is exported from the start as 0."""
 
     def __init__(self, *, registry: CollectorRegistry) -> None:
         self.forwarded = Counter(
--- a/heatherkeel/relay/route.py
+++ b/heatherkeel/relay/route.py
@@ -1,4 +1,4 @@
-"""Chooses between the direct way to the store and one through another process."""
+"""Chooses between direct calls to the store and calls through a peer."""
 
 from __future__ import annotations
 
@@ -17,39 +17,36 @@
 from heatherkeel.questions.messages import Answer, RelayAnswer, RelayQuestion
 
 from .const import (
-    FAILURES_TO_REST,
-    FAILURES_TO_TURN,
+    FAILURES_BEFORE_FORWARDING,
+    FAILURES_BEFORE_PAUSE,
     FORWARD_MARGIN_S,
-    LARGEST_BODY,
+    FORWARD_PAUSE_S,
     LONGEST_FORWARD_S,
+    MAX_BODY_BYTES,
     PROBE_INTERVAL_S,
     PROBE_TIMEOUT_S,
-    REST_S,
 )
 from .metrics import Forwarded, RelayMetrics
 
 _LOGGER = logging.getLogger(__name__)
 
-_TURNED_AWAY: Final = frozenset({429, 503})
-"""Statuses with which the store does nothing; it may give them to one process only."""
-_GIVEN_UP: Final = "given up: the store turns this process away"
+_REJECTED_STATUSES: Final = frozenset({429, 503})
+"""Statuses with which the store does nothing; only one process may be affected."""
+_CANCELLED: Final = "given up: the store turns this process away"
 
 AsyncAsk = Callable[[str, RelayQuestion, float], Awaitable[Answer | None]]
-"""Asks the process at an address, for so many seconds at the most."""
+"""Asks the process at an address, with a timeout in seconds."""
 
 
 class PeerRoute:
-    """Goes directly while that works, and through a peer while only this process is turned away.
+    """Calls the store directly, or through a peer while only this process can't reach it.
 
-    A store that refuses one process, or loses its connections, still serves the others. Alone,
-    this process would refuse its callers, and as an owner stop its partitions' work until the
-    membership has run out and another has taken over, two seconds later. Over ten days, four of
-    them with such a store, answers that said neither yes nor no fell from 305 to 118, and the
-    credit earned over the day rose from 0.820 to 0.838 of what was owed.
+    Without a peer, this process would refuse its callers, and as an owner stop the work of its
+    partitions until its membership expires and another owner takes over.
 
-    A forwarded call may be made twice, and late, like any call that got no answer: submissions
-    are named by their job, records of owners by epoch and sequence number, renewals by member. The
-    time from which a renewal counts is that of its first try, so no ownership is believed longer.
+    A forwarded call may be made twice or late, like any call without an answer. Submissions are
+    identified by job, records of owners by epoch and sequence number, and renewals by member. A
+    renewal counts from its first attempt, so forwarding never extends an ownership.
     """
 
     def __init__(
@@ -63,44 +60,42 @@
         self.async_ask = async_ask
         self.metrics = metrics
         self.direct = DirectRoute()
-        self.is_turned_away = False
+        self.is_rejected = False
         self.probe_s = 0.0
-        """When a call is tried directly again."""
-        self.rest_until_s = 0.0
-        self.turn = 0
-        """Which peer is asked; the next one after each failure."""
+        """Time of the next direct call, in seconds of trio's clock."""
+        self.paused_until_s = 0.0
+        self.peer_index = 0
+        """Index of the peer to ask; incremented after each failure."""
         self.failures = 0
-        """Forwarded calls in a row that failed."""
+        """Consecutive forwarded calls that failed."""
         self.direct_failures = 0
-        """Direct calls in a row that failed, where a peer was served."""
+        """Consecutive direct calls that failed but succeeded through a peer."""
         self.waiting_reads: set[trio.CancelScope] = set()
 
     async def async_call(self, caller: HttpCaller, call: StoreCall) -> Result[Reply, CallError]:
         """Make one call, directly or through a peer.
 
-        A reading that waits never decides by itself: its connection is reset whenever the store
-        forgets its history, and each process would go through a peer for a while, with a link that
-        may have gone silent at the same moment. Its next try is 300 ms later, and renewals and
-        appends find out sooner whether this process is turned away.
+        A failed waiting read doesn't switch the route, because the store resets the connections of
+        all waiting reads when it drops its history. Renewals and appends detect a rejection.
         """
-        if self._goes_through_peer(call):
+        if self._should_forward(call):
             forwarded = await self._async_forward(call)
             if _is_answered(forwarded) or call.waits:
                 return forwarded
-            return _join(forwarded, await self._async_direct(caller, call))
+            return _combine(forwarded, await self._async_direct(caller, call))
         direct = await self._async_direct(caller, call)
-        if _is_answered(direct) or self._rests():
+        if _is_answered(direct) or self._is_paused():
             return direct
-        if call.waits and not self.is_turned_away:
+        if call.waits and not self.is_rejected:
             return direct
         forwarded = await self._async_forward(call)
         if not _is_answered(forwarded):
-            return _join(direct, forwarded)
-        self._count_turned_away(direct)
+            return _combine(direct, forwarded)
+        self._record_rejection(direct)
         return forwarded
 
-    def _goes_through_peer(self, call: StoreCall) -> bool:
-        if not self.is_turned_away or self._rests():
+    def _should_forward(self, call: StoreCall) -> bool:
+        if not self.is_rejected or self._is_paused():
             return False
         now_s = trio.current_time()
         if call.waits or now_s < self.probe_s:
@@ -108,49 +103,51 @@
         self.probe_s = now_s + PROBE_INTERVAL_S
         return False
 
-    def _rests(self) -> bool:
-        return trio.current_time() < self.rest_until_s
+    def _is_paused(self) -> bool:
+        return trio.current_time() < self.paused_until_s
 
     async def _async_direct(self, caller: HttpCaller, call: StoreCall) -> Result[Reply, CallError]:
-        longest_s = PROBE_TIMEOUT_S if self.is_turned_away else call.timeout_s
-        answer: Result[Reply, CallError] = Err(CallError(failure=Failure.UNKNOWN, detail=_GIVEN_UP))
+        longest_s = PROBE_TIMEOUT_S if self.is_rejected else call.timeout_s
+        answer: Result[Reply, CallError] = Err(
+            CallError(failure=Failure.UNKNOWN, detail=_CANCELLED)
+        )
         with trio.CancelScope() as scope:
             if call.waits:
                 self.waiting_reads.add(scope)
             try:
-                answer = await self.direct.async_call(caller, _within(call, longest_s))
+                answer = await self.direct.async_call(caller, _limit_timeout(call, longest_s))
             finally:
                 self.waiting_reads.discard(scope)
         if not _is_answered(answer) or call.waits:
             return answer
         self.direct_failures = 0
-        if self.is_turned_away:
-            self.is_turned_away = False
+        if self.is_rejected:
+            self.is_rejected = False
             _LOGGER.info(
-                "the store is reached directly again", extra={"event": "store_direct_regained"}
+                "the store accepts direct calls again", extra={"event": "store_direct_regained"}
             )
         return answer
 
-    def _count_turned_away(self, direct: Result[Reply, CallError]) -> None:
-        """Go through peers after some failures, also with readings that wait in vain."""
+    def _record_rejection(self, direct: Result[Reply, CallError]) -> None:
+        """Switch to peers after repeated failures, and cancel waiting direct reads."""
         self.direct_failures += 1
-        if self.is_turned_away or self.direct_failures < FAILURES_TO_TURN:
+        if self.is_rejected or self.direct_failures < FAILURES_BEFORE_FORWARDING:
             return
-        self.is_turned_away = True
+        self.is_rejected = True
         self.probe_s = trio.current_time() + PROBE_INTERVAL_S
         _LOGGER.warning(
-            "the store turns this process away; calls go through others",
-            extra={"event": "store_direct_lost", "detail": _tell(direct)},
+            "the store rejects this process; calls go through peers",
+            extra={"event": "store_direct_lost", "detail": _describe(direct)},
         )
         for scope in self.waiting_reads:
             scope.cancel()
 
     async def _async_forward(self, call: StoreCall) -> Result[Reply, CallError]:
-        """Let a peer make a call; REFUSED if it surely wasn't made."""
+        """Make a call through a peer; REFUSED if it was not made."""
         peers = self.list_peers()
-        if not peers or len(call.body or b"") > LARGEST_BODY:
+        if not peers or len(call.body or b"") > MAX_BODY_BYTES:
             return Err(CallError(failure=Failure.REFUSED, detail="no other process to ask"))
-        peer = peers[self.turn % len(peers)]
+        peer = peers[self.peer_index % len(peers)]
         longest_s = min(call.timeout_s, call.wait_s + LONGEST_FORWARD_S)
         asked = RelayQuestion(
             method=call.method,
@@ -160,26 +157,25 @@
             sent_wall_ms=wall_ms(),
         )
         answer = await self.async_ask(peer, asked, longest_s + FORWARD_MARGIN_S)
-        told = _read_answer(answer)
-        if _is_answered(told):
+        result = _read_answer(answer)
+        if _is_answered(result):
             self.metrics.count_forwarded(Forwarded.ANSWERED)
             self.failures = 0
-            return told
+            return result
         self.metrics.count_forwarded(Forwarded.FAILED)
-        self._take_failure()
-        return told
+        self._record_failure()
+        return result
 
-    def _take_failure(self) -> None:
-        """Ask the next peer from now on; rest once it looks as if the store served none.
+    def _record_failure(self) -> None:
+        """Switch to the next peer, and pause forwarding if the store seems down for all processes.
 
-        While this process is turned away a peer that fails may be the only one that does, and
-        without another it would be left without the store for as long as it rests.
+        While the store rejects this process, a single failed peer doesn't cause a pause.
         """
-        self.turn += 1
+        self.peer_index += 1
         self.failures += 1
-        if not self.is_turned_away or self.failures >= FAILURES_TO_REST:
+        if not self.is_rejected or self.failures >= FAILURES_BEFORE_PAUSE:
             self.failures = 0
-            self.rest_until_s = trio.current_time() + REST_S
+            self.paused_until_s = trio.current_time() + FORWARD_PAUSE_S
 
 
 def _read_answer(answer: Answer | None) -> Result[Reply, CallError]:
@@ -190,31 +186,31 @@
     return Ok(Reply(status=answer.status, body=answer.body))
 
 
-def _within(call: StoreCall, longest_s: float) -> StoreCall:
+def _limit_timeout(call: StoreCall, longest_s: float) -> StoreCall:
     if call.waits or call.timeout_s <= longest_s:
         return call
     return replace(call, timeout_s=longest_s)
 
 
 def _is_answered(answer: Result[Reply, CallError]) -> bool:
-    """Say whether the store has done the call, or refused it for its content."""
-    return isinstance(answer, Ok) and answer.ok_value.status not in _TURNED_AWAY
+    """Return whether the store has done the call, or refused it for its content."""
+    return isinstance(answer, Ok) and answer.ok_value.status not in _REJECTED_STATUSES
 
 
-def _join(
+def _combine(
     first: Result[Reply, CallError], second: Result[Reply, CallError]
 ) -> Result[Reply, CallError]:
-    """Return what is known after two tries: that nothing was done only if neither was."""
-    if _is_answered(second) or _may_be_done(second):
+    """Combine the results of two attempts; nothing was done only if neither may have been."""
+    if _is_answered(second) or _may_have_been_made(second):
         return second
     return first
 
 
-def _may_be_done(answer: Result[Reply, CallError]) -> bool:
+def _may_have_been_made(answer: Result[Reply, CallError]) -> bool:
     return isinstance(answer, Err) and answer.err_value.failure is Failure.UNKNOWN
 
 
-def _tell(answer: Result[Reply, CallError]) -> str:
+def _describe(answer: Result[Reply, CallError]) -> str:
     if isinstance(answer, Err):
         return answer.err_value.detail
     return f"status {answer.ok_value.status}"
--- a/tests/relay/test_answering.py
+++ b/tests/relay/test_answering.py
@@ -1,4 +1,4 @@
-"""Which calls a process makes for others."""
+"""Tests for calls on behalf of peers."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from heatherkeel.platform.store import StoreClient
 from heatherkeel.questions.messages import RelayAnswer, RelayQuestion
 from heatherkeel.relay.answering import StoreRelay
-from heatherkeel.relay.const import LARGEST_BODY, MOST_AT_ONCE, OLDEST_MS
+from heatherkeel.relay.const import MAX_BODY_BYTES, MAX_CALL_AGE_MS, MAX_CONCURRENT_CALLS
 from heatherkeel.relay.metrics import RelayMetrics, Served
 
 
 class FakeStore:
-    """Answers every call with one body."""
+    """Answers all calls with the same body."""
 
     def __init__(self, body: bytes = b"done") -> None:
         self.body = body
@@ -43,10 +43,10 @@
     )
 
 
-def test_call_is_made_and_its_answer_told() -> None:
+def test_call_is_made_and_its_answer_returned() -> None:
     store = FakeStore()
-    told = trio.run(make_relay(store).async_answer, ask())
-    assert told == RelayAnswer(status=200, body=b"done")
+    answer = trio.run(make_relay(store).async_answer, ask())
+    assert answer == RelayAnswer(status=200, body=b"done")
     assert [call.target for call in store.made] == ["/heatherkeel/log-join"]
 
 
@@ -55,33 +55,27 @@
     [
         (ask("/heatherkeel/run-start"), Served.NOT_ALLOWED),
         (ask("http://10.0.0.1/heatherkeel/log-join"), Served.NOT_ALLOWED),
-        (ask(age_ms=OLDEST_MS + 1000), Served.TOO_OLD),
+        (ask(age_ms=MAX_CALL_AGE_MS + 1000), Served.TOO_OLD),
         (ask(age_ms=-60_000), Served.TOO_OLD),
     ],
 )
-def test_call_that_is_not_for_the_store_or_comes_late_is_not_made(
-    asked: RelayQuestion, why: Served
-) -> None:
-    """A partition holds a renewal up, and the member has left by the time that it heals.
-
-    Made so late, it would bring the member back, and partitions would go to a process that is
-    gone. What isn't a call to the store on records or groups is nobody else's to make.
-    """
+def test_late_call_or_call_to_other_target_is_refused(asked: RelayQuestion, why: Served) -> None:
+    """A delayed renewal must not bring back a member that has left; other targets are refused."""
     store = FakeStore()
-    told = trio.run(make_relay(store).async_answer, asked)
-    assert (told.failure, told.detail) == (Failure.REFUSED, why.value)
+    answer = trio.run(make_relay(store).async_answer, asked)
+    assert (answer.failure, answer.detail) == (Failure.REFUSED, why.value)
     assert store.made == []
 
 
-def test_only_so_many_calls_of_others_are_made_at_once() -> None:
+def test_concurrent_calls_are_limited() -> None:
     store = FakeStore()
     relay = make_relay(store)
-    relay.under_way = MOST_AT_ONCE
-    told = trio.run(relay.async_answer, ask())
-    assert (told.failure, told.detail) == (Failure.REFUSED, Served.TOO_MANY.value)
+    relay.active_calls = MAX_CONCURRENT_CALLS
+    answer = trio.run(relay.async_answer, ask())
+    assert (answer.failure, answer.detail) == (Failure.REFUSED, Served.TOO_MANY.value)
 
 
-def test_answer_that_is_too_large_for_a_message_is_not_told_as_not_done() -> None:
-    relay = make_relay(FakeStore(b"x" * (LARGEST_BODY + 1)))
-    told = trio.run(relay.async_answer, ask())
-    assert told.failure is Failure.UNKNOWN
+def test_too_large_answer_is_reported_as_unknown() -> None:
+    relay = make_relay(FakeStore(b"x" * (MAX_BODY_BYTES + 1)))
+    answer = trio.run(relay.async_answer, ask())
+    assert answer.failure is Failure.UNKNOWN
