--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -93,13 +93,13 @@
             store=self.store,
             address=self.links.address,
             incarnation=uuid.uuid4().hex[:12],
-            capacity=settings.limits.room(),
+            capacity=settings.limits.cpu_capacity(),
             on_change=self._async_change,
         )
         self.reserve = ReserveWatch(
             member=self.member,
             holders=self.holders,
-            capacity=settings.limits.room(),
+            capacity=settings.limits.cpu_capacity(),
             partitions=partitions,
         )
         self.isolation = IsolationWatch(
--- a/heatherkeel/platform/settings.py
+++ b/heatherkeel/platform/settings.py
@@ -53,7 +53,7 @@
     core_speed: Annotated[float, Meta(gt=0)] = msgspec.field(name="cores", default=1.0)
     """Speed of its core, as a multiple of a standard one."""
 
-    def room(self) -> int:
+    def cpu_capacity(self) -> int:
         """Return its CPU capacity, in thousandths of a core."""
         return round(1000 * self.core_share * self.core_speed)
 
