--- a/heatherkeel/admin/status.py
+++ b/heatherkeel/admin/status.py
@@ -102,8 +102,8 @@
 
 def _platform_status(call: Call) -> PlatformStatus:
     follower = call.node.follower
-    heard_at_ms = follower.heard_at_ms
-    age_ms = -1 if heard_at_ms is None else monotonic_ms() - heard_at_ms
+    answered_at_ms = follower.answered_at_ms
+    age_ms = -1 if answered_at_ms is None else monotonic_ms() - answered_at_ms
     return PlatformStatus(reachable=follower.reachable, heard_age_ms=age_ms)
 
 
--- a/heatherkeel/entry/process.py
+++ b/heatherkeel/entry/process.py
@@ -45,7 +45,7 @@
             node=self.node.state,
             take=self.node.take,
             take_relayed=self.node.take_relayed,
-            heard_at_ms=lambda: self.node.follower.heard_at_ms,
+            heard_at_ms=lambda: self.node.follower.answered_at_ms,
             recent=self.node.recent,
             bind=settings.peers.bind,
             seeds=settings.peers.seeds,
--- a/heatherkeel/fleetlog/follower.py
+++ b/heatherkeel/fleetlog/follower.py
@@ -55,7 +55,7 @@
         self.rebuild = rebuild
         self.caught_up = trio.Event()
         self.reachable = False
-        self.heard_at_ms: int | None = None
+        self.answered_at_ms: int | None = None
         """Monotonic time of the log's last response, in milliseconds."""
         self.out_of_retention = False
         self.oldest = 0
@@ -97,7 +97,7 @@
 
     async def _async_apply_answer(self, answer: ReadAnswer) -> None:
         self.reachable = True
-        self.heard_at_ms = monotonic_ms()
+        self.answered_at_ms = monotonic_ms()
         self.out_of_retention = False
         self.oldest = answer.oldest
         self.clock.update(answer.now_ms)
