--- a/heatherkeel/entry/node.py
+++ b/heatherkeel/entry/node.py
@@ -64,7 +64,7 @@
             clock=self.clock,
             wait_ms=settings.platform.poll_wait_ms,
             next_offset=lambda: self.state.fleet.next_offset,
-            take=self.take_record,
+            apply_record=self.take_record,
             rebuild=self.async_rebuild,
         )
         self.store = SnapshotStore(client=self.client, stream=settings.platform.stream)
--- a/heatherkeel/fleetlog/follower.py
+++ b/heatherkeel/fleetlog/follower.py
@@ -43,7 +43,7 @@
         clock: LogClock,
         wait_ms: int,
         next_offset: Callable[[], int],
-        take: Callable[[LogRecord], None],
+        apply_record: Callable[[LogRecord], None],
         rebuild: Callable[[], Awaitable[bool]],
     ) -> None:
         self.client = client
@@ -51,7 +51,7 @@
         self.clock = clock
         self.wait_ms = wait_ms
         self.next_offset = next_offset
-        self.take = take
+        self.apply_record = apply_record
         self.rebuild = rebuild
         self.caught_up = trio.Event()
         self.reachable = False
@@ -123,7 +123,7 @@
         # A peer may have relayed the same record while this response was in transit.
         if record.offset < self.next_offset():
             return
-        self.take(record)
+        self.apply_record(record)
         self.last_record = record
 
     async def _async_handle_truncated_log(self, answer: ReadAnswer) -> None:
--- a/tests/fleetlog/test_follower.py
+++ b/tests/fleetlog/test_follower.py
@@ -30,7 +30,7 @@
             clock=LogClock(),
             wait_ms=1000,
             next_offset=lambda: self.start_offset + len(self.records),
-            take=self.records.append,
+            apply_record=self.records.append,
             rebuild=self.async_rebuild,
         )
 
