--- a/heatherkeel/entry/node.py
+++ b/heatherkeel/entry/node.py
@@ -126,7 +126,7 @@
 
     def take_relayed(self, record: LogRecord) -> None:
         """Fold a record that a peer has read from the log."""
-        self.follower.note_folded(record)
+        self.follower.record_relayed(record)
         self.clock.update_from_record(record.at_ms)
         self.take_record(record)
 
--- a/heatherkeel/fleetlog/follower.py
+++ b/heatherkeel/fleetlog/follower.py
@@ -67,7 +67,7 @@
         """Start to follow the log in the background."""
         nursery.start_soon(self._async_run)
 
-    def note_folded(self, record: LogRecord) -> None:
+    def record_relayed(self, record: LogRecord) -> None:
         """Record that a record was folded that a peer relayed and the log hasn't confirmed."""
         self.last_record = record
         self.in_doubt = True
--- a/tests/fleetlog/test_follower.py
+++ b/tests/fleetlog/test_follower.py
@@ -130,7 +130,7 @@
         for stored in relayed:
             record = LogRecord(offset=stored.offset, at_ms=stored.at_ms, data=stored.data)
             reader.records.append(record)
-            reader.follower.note_folded(record)
+            reader.follower.record_relayed(record)
         reader.client.platform.faults.retain_records = 1
         reader.append(b"c")
         await reader.run_for(5)
@@ -162,7 +162,7 @@
         record = LogRecord(offset=0, at_ms=relayed.at_ms, data=relayed.data)
         answer: ReadAnswer = reader.client.platform.read(STREAM, 0, 512)
         reader.records.append(record)
-        reader.follower.note_folded(record)
+        reader.follower.record_relayed(record)
         await reader.follower._async_apply_answer(answer)
         assert reader.data() == [b"a", b"b"] and not reader.follower.in_doubt
 
