--- a/heatherkeel/entry/node.py
+++ b/heatherkeel/entry/node.py
@@ -64,7 +64,7 @@
             clock=self.clock,
             wait_ms=settings.platform.poll_wait_ms,
             next_offset=lambda: self.state.fleet.next_offset,
-            take=self.apply_record,
+            apply_record=self.apply_record,
             rebuild=self.async_rebuild,
         )
         self.store = SnapshotStore(client=self.client, stream=settings.platform.stream)
@@ -113,7 +113,7 @@
             return
         self.state.fleet = fleet
         self.follower.forget_records()
-        self.clock.hear_record(fleet.now_ms)
+        self.clock.update_from_record(fleet.now_ms)
         _LOGGER.info(
             "state restored", extra={"event": "state_restored", "next_offset": fleet.next_offset}
         )
@@ -126,8 +126,8 @@
 
     def apply_relayed_record(self, record: LogRecord) -> None:
         """Fold a record that a peer has read from the log and relayed."""
-        self.follower.note_folded(record)
-        self.clock.hear_record(record.at_ms)
+        self.follower.record_relayed(record)
+        self.clock.update_from_record(record.at_ms)
         self.apply_record(record)
 
     def handle_event(self, event: Event) -> list[Effect]:
--- a/heatherkeel/entry/process.py
+++ b/heatherkeel/entry/process.py
@@ -45,7 +45,7 @@
             node=self.node.state,
             handle_event=self.node.handle_event,
             apply_relayed_record=self.node.apply_relayed_record,
-            log_answered_at_ms=lambda: self.node.follower.heard_at_ms,
+            log_answered_at_ms=lambda: self.node.follower.answered_at_ms,
             recent=self.node.recent,
             bind=settings.peers.bind,
             seeds=settings.peers.seeds,
--- a/heatherkeel/gateway/exchange.py
+++ b/heatherkeel/gateway/exchange.py
@@ -182,7 +182,7 @@
         response may still take effect.
         """
         outcome_unknown = False
-        if self.context.store.find_health(JOBS_TOPIC, partition).is_away():
+        if self.context.store.find_health(JOBS_TOPIC, partition).is_unavailable():
             await self._async_refuse(Refusal.STORE_AWAY, job_id=job_id, retry_s=RETRY_LATER_S)
             return Refusal.STORE_AWAY
         while True:
--- a/heatherkeel/platform/workers.py
+++ b/heatherkeel/platform/workers.py
@@ -1,4 +1,4 @@
-"""Calls to one life of a worker: start, stop and pace tasks, hold its lease, list its tasks."""
+"""Client of one worker incarnation: tasks, lease and listing."""
 
 from __future__ import annotations
 
@@ -9,21 +9,18 @@
 import trio
 from result import Err, Ok, Result
 
+from .adaptive_timeout import AdaptiveTimeout
 from .caller import HttpCaller, Reply
 from .errors import CallError, Failure
-from .patience import Patience
 
 START_TIMEOUT_S: Final = 1.0
-"""Longest wait for a start, in seconds. Workers answer within a few milliseconds; an order
-without an answer may be carried out late, and the sooner that is known, the sooner the task runs
-elsewhere."""
+"""Timeout of an order, in seconds; after it the task can be started elsewhere."""
 LIST_TIMEOUT_S: Final = 1.2
-"""Longest wait for a listing beyond its own `wait_ms`, in seconds."""
+"""Longest timeout of a listing beyond its own `wait_ms`, in seconds."""
 SHORTEST_LIST_TIMEOUT_S: Final = 0.35
-"""Shortest such wait, in seconds. Workers answer within a few milliseconds; an answer that is lost
-hides every end on its worker until it is given up."""
+"""Shortest such timeout, in seconds; a lost answer hides the worker's ended tasks until then."""
 CONNECTIONS: Final = 4
-"""Connections to one worker: one waits for ends, the others carry orders."""
+"""Connections to one worker: one waits for ended tasks, the others carry orders."""
 _INSTANCE_HEADER: Final = "heatherkeel-target-instance"
 _MISDIRECTED, _CONFLICT = 421, 409
 _UNHEALTHY: Final = frozenset({429, 503})
@@ -31,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RunningTask:
-    """A task that runs; `figure` is its tail in ms, or its processor use, as of just now."""
+    """A running task; `figure` is its current tail latency in ms, or its current CPU use."""
 
     task: str
     attempt: int
@@ -42,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EndedTask:
-    """A task that has ended; `number` counts the ends of this life of the worker."""
+    """A task that has ended; `number` counts the ended tasks of this worker incarnation."""
 
     number: int
     task: str
@@ -53,13 +50,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Listing:
-    """All that runs on a worker, and the ends that weren't acknowledged, by its clock."""
+    """Running tasks and unacknowledged ended tasks of a worker, with the worker's clock."""
 
     clock_ms: int
     running: list[RunningTask]
     ended: list[EndedTask]
     born: int = 0
-    """When this life of the worker began, in milliseconds since 1970; 0 if it doesn't tell."""
+    """Start time of this incarnation, in milliseconds since 1970; 0 if not reported."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -84,20 +81,22 @@
 
 
 class WorkerClient:
-    """One process's way to one life of a worker."""
+    """Client of one worker incarnation."""
 
     def __init__(self, *, worker_id: str, address: str) -> None:
         self.worker_id = worker_id
         self.caller = HttpCaller(address=address, connections=CONNECTIONS)
         self.headers = [(_INSTANCE_HEADER, worker_id)]
-        self.patience = Patience(shortest_s=SHORTEST_LIST_TIMEOUT_S, longest_s=LIST_TIMEOUT_S)
+        self.list_timeout = AdaptiveTimeout(
+            shortest_s=SHORTEST_LIST_TIMEOUT_S, longest_s=LIST_TIMEOUT_S
+        )
 
     async def close(self) -> None:
         """Close all connections."""
         await self.caller.close()
 
     async def async_start_task(self, order: StartOrder) -> Result[int, CallError]:
-        """Start a task; returns the worker's clock in milliseconds."""
+        """Start a task and return the worker's clock in milliseconds."""
         body: dict[str, Any] = {
             "task": order.task,
             "attempt": order.attempt,
@@ -114,21 +113,21 @@
     async def async_stop_task(
         self, *, task: str, attempt: int, token: int
     ) -> Result[int, CallError]:
-        """Stop a task; one that isn't there yet will be refused when it comes."""
+        """Stop a task; if it hasn't arrived yet, the worker refuses it when it does."""
         body = {"task": task, "attempt": attempt, "fencingToken": token}
         return await self._async_order("run-stop", body)
 
     async def async_pace_task(
         self, *, task: str, attempt: int, percent: int, token: int
     ) -> Result[int, CallError]:
-        """Let a task work at a share of its speed, in percent."""
+        """Limit a task to a percentage of its speed."""
         body = {"task": task, "attempt": attempt, "percent": percent, "fencingToken": token}
         return await self._async_order("pace", body)
 
     async def async_hold(
         self, *, token: int, acknowledged: int, lease_until_ms: int | None, wait_ms: int
     ) -> Result[Listing, CallError]:
-        """Renew the lease of all that runs, acknowledge ends, and list what there is."""
+        """Renew the lease of all running tasks, acknowledge ended ones, and list both."""
         body: dict[str, Any] = {"fencingToken": token, "ackSeq": acknowledged}
         if lease_until_ms is not None:
             body["deadlineMs"] = lease_until_ms
@@ -136,8 +135,8 @@
             body["waitMs"] = wait_ms
         wait_s = wait_ms / 1000
         began_s = trio.current_time()
-        answered = await self._async_call("hold", body, self.patience.timeout_s() + wait_s)
-        self._learn(answered, trio.current_time() - began_s - wait_s)
+        answered = await self._async_call("hold", body, self.list_timeout.timeout_s() + wait_s)
+        self._update_timeout(answered, trio.current_time() - began_s - wait_s)
         if isinstance(answered, Err):
             return answered
         answer = answered.ok_value
@@ -153,13 +152,13 @@
         except (ValueError, TypeError, LookupError) as err:
             return Err(CallError(failure=Failure.INVALID, detail=f"listing: {err!r}"))
 
-    def _learn(self, answered: Result[_Answer, CallError], beyond_s: float) -> None:
-        """Learn how long a listing takes beyond its wait; an end may have cut that short."""
+    def _update_timeout(self, answered: Result[_Answer, CallError], beyond_s: float) -> None:
+        """Update the timeout by the time beyond the wait, which an ended task may cut short."""
         if isinstance(answered, Err):
             if answered.err_value.failure is Failure.UNKNOWN:
-                self.patience.take_silence()
+                self.list_timeout.record_timeout()
         else:
-            self.patience.take_answer(max(beyond_s, 0.0))
+            self.list_timeout.record_answer(max(beyond_s, 0.0))
 
     async def _async_order(self, name: str, body: dict[str, Any]) -> Result[int, CallError]:
         answered = await self._async_call(name, body, START_TIMEOUT_S)
