--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -109,7 +109,7 @@
 LASTING_SHARE: Final = 0.5
 """Fraction of a step's long-running tasks that may be on one worker. Spread over more workers they
 would keep more machines from being moved."""
-STANDING_MS: Final = 1200
+STALLED_MS: Final = 1200
 """Time without progress after which a task is stalled, in milliseconds."""
 FEWEST_STANDING: Final = 2
 """Minimum number of stalled tasks for a worker to count as stalled; all of its tasks must be."""
--- a/heatherkeel/dispatch/standing.py
+++ b/heatherkeel/dispatch/standing.py
@@ -8,7 +8,7 @@
     FEWEST_STANDING,
     MAX_QUARANTINED_FRACTION,
     QUARANTINE_MS,
-    STANDING_MS,
+    STALLED_MS,
 )
 from .events import Effects
 from .jobs import stop_run
@@ -26,7 +26,7 @@
     no task fails. A single stalled task may be its own fault, so several are needed.
     """
     runs = [run for run in worker.runs.values() if _can_stall(run)]
-    stalled = [run for run in runs if state.now_ms - run.moved_ms >= STANDING_MS]
+    stalled = [run for run in runs if state.now_ms - run.moved_ms >= STALLED_MS]
     if len(stalled) < max(FEWEST_STANDING, len(runs)):
         return
     if not quarantine_worker(state, worker, why=f"{len(stalled)} tasks stand still"):
--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from heatherkeel.dispatch.const import LEASE_MS, LEAVING_MS, QUARANTINE_MS, SILENT_MS, STANDING_MS
+from heatherkeel.dispatch.const import LEASE_MS, LEAVING_MS, QUARANTINE_MS, SILENT_MS, STALLED_MS
 from heatherkeel.dispatch.events import IncarnationsListed, Tick
 from heatherkeel.dispatch.models import JobState, Run
 from heatherkeel.platform.errors import Failure
@@ -229,7 +229,7 @@
     first = start_job_on(partition, "w0")
     second = start_job_on(partition, "w0", OTHER_JOB)
     partition.list_known_runs("w0", percent=30.0)
-    partition.now_ms += STANDING_MS
+    partition.now_ms += STALLED_MS
     effects = partition.list_known_runs("w0", percent=30.0)
     assert set(stopped_runs(effects)) == {first, second}
     assert not partition.state.workers["w0"].accepts_work(partition.now_ms)
@@ -240,7 +240,7 @@
     first = start_job_on(partition, "w0")
     second = start_job_on(partition, "w0", OTHER_JOB)
     partition.list_known_runs("w0", percent=30.0)
-    partition.now_ms += STANDING_MS
+    partition.now_ms += STALLED_MS
     rows = [
         RunningTask(task=run.task.name, attempt=1, saved="", percent=percent, figure=0.0)
         for run, percent in ((first, 30.0), (second, 31.0))
