--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -85,7 +85,7 @@
 LIVES_INTERVAL_MS: Final = 600
 """Interval between readings of the list of machines while a worker with tasks is unresponsive, in
 milliseconds. The list shows a crash seconds before the worker's lease expires."""
-SILENT_MS: Final = 1200
+MIN_UNRESPONSIVE_MS: Final = 1200
 """How long a worker must have been unresponsive before the list of machines is trusted about it, in
 milliseconds: the list is up to 800 ms old, so it may lack a worker that has just started."""
 LEAVING_MS: Final = 2000
--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -4,7 +4,7 @@
 
 from heatherkeel.platform.operator import WorkerEntry
 
-from .const import SILENT_MS, SLOWEST_CLOCK
+from .const import MIN_UNRESPONSIVE_MS, SLOWEST_CLOCK
 from .ends import lose_run
 from .events import Effects, IncarnationsListed, OpenSessions, StopTask
 from .models import LossReason, Run, RunState, Worker
@@ -104,7 +104,7 @@
     Their machines have restarted or are down; a worker that is only unreachable is still named.
     """
     for worker in list(state.workers.values()):
-        is_long = state.now_ms - worker.unresponsive_since_ms >= SILENT_MS
+        is_long = state.now_ms - worker.unresponsive_since_ms >= MIN_UNRESPONSIVE_MS
         if worker.is_unresponsive and is_long and worker.id not in event.worker_ids:
             end_incarnation(state, worker, effects, reason=LossReason.OTHER_LIFE)
 
--- a/tests/dispatch/test_crashing_tasks.py
+++ b/tests/dispatch/test_crashing_tasks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from heatherkeel.dispatch.const import LEASE_MS, PROVEN_MS, SILENT_MS
+from heatherkeel.dispatch.const import LEASE_MS, MIN_UNRESPONSIVE_MS, PROVEN_MS
 from heatherkeel.dispatch.events import IncarnationsListed
 from heatherkeel.dispatch.models import JobState, Run, RunState
 from heatherkeel.platform.callers import StepRequest
@@ -43,7 +43,7 @@
         """Crash a worker and list the new worker of its machine."""
         partition = self.partition
         partition.fail_listing(worker_id)
-        for _ in range(SILENT_MS // 100):
+        for _ in range(MIN_UNRESPONSIVE_MS // 100):
             for other in list(partition.state.workers):
                 if other != worker_id and not partition.state.workers[other].is_unresponsive:
                     partition.list_known_runs(other, percent=100.0)
--- a/tests/dispatch/test_losses.py
+++ b/tests/dispatch/test_losses.py
@@ -2,7 +2,13 @@
 
 from __future__ import annotations
 
-from heatherkeel.dispatch.const import LEASE_MS, LEAVING_MS, QUARANTINE_MS, SILENT_MS, STALLED_MS
+from heatherkeel.dispatch.const import (
+    LEASE_MS,
+    LEAVING_MS,
+    MIN_UNRESPONSIVE_MS,
+    QUARANTINE_MS,
+    STALLED_MS,
+)
 from heatherkeel.dispatch.events import IncarnationsListed, Tick
 from heatherkeel.dispatch.models import JobState, Run
 from heatherkeel.platform.errors import Failure
@@ -204,7 +210,7 @@
     run = start_job_on(partition, "w0")
     partition.effects.clear()
     partition.fail_listing("w0")
-    partition.now_ms += SILENT_MS
+    partition.now_ms += MIN_UNRESPONSIVE_MS
     partition.apply(IncarnationsListed(**partition.event_times(), worker_ids=frozenset({"w1"})))
     (again,) = started_runs(partition.effects)
     assert again.task is run.task
@@ -216,7 +222,7 @@
     start_job_on(partition, "w0")
     partition.effects.clear()
     partition.fail_listing("w0")
-    partition.now_ms += SILENT_MS
+    partition.now_ms += MIN_UNRESPONSIVE_MS
     partition.apply(
         IncarnationsListed(**partition.event_times(), worker_ids=frozenset({"w0", "w1"}))
     )
--- a/tests/dispatch/test_restarts.py
+++ b/tests/dispatch/test_restarts.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from heatherkeel.dispatch.const import LEASE_MS, MAX_LISTING_AGE_MS, SILENT_MS
+from heatherkeel.dispatch.const import LEASE_MS, MAX_LISTING_AGE_MS, MIN_UNRESPONSIVE_MS
 from heatherkeel.dispatch.events import IncarnationsListed, OpenSessions
 from heatherkeel.dispatch.models import JobState, Run, RunState
 from heatherkeel.platform.errors import Failure
@@ -17,7 +17,7 @@
 def drop_worker(partition: Partition, worker_id: str) -> None:
     """Let a worker be unresponsive until its machine is listed without it."""
     partition.fail_listing(worker_id)
-    partition.tick(SILENT_MS)
+    partition.tick(MIN_UNRESPONSIVE_MS)
     others = frozenset(partition.state.workers.keys() - {worker_id})
     partition.apply(IncarnationsListed(**partition.event_times(), worker_ids=others))
 
--- a/tests/dispatch/test_state_machine.py
+++ b/tests/dispatch/test_state_machine.py
@@ -9,7 +9,7 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from heatherkeel.dispatch.const import SILENT_MS
+from heatherkeel.dispatch.const import MIN_UNRESPONSIVE_MS
 from heatherkeel.dispatch.events import (
     AcknowledgeEnds,
     Effect,
@@ -356,7 +356,7 @@
             return
         for worker in known:
             self._queue_effects(self.partition.fail_listing(worker.id))
-        self.pass_time(SILENT_MS)
+        self.pass_time(MIN_UNRESPONSIVE_MS)
         self.list_machines()
 
     @precondition(lambda self: self.jobs)
