--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -101,7 +101,7 @@
 """How long a read of new jobs waits, in milliseconds; must stay below the limit above."""
 ARRIVAL_WINDOW_MS: Final = 800
 """Window over which the arrival rate is measured, in milliseconds."""
-UNHEARD_MS: Final = 600
+CAPACITY_GRACE_MS: Final = 600
 """How long a worker must have been unresponsive before its capacity no longer counts, in
 milliseconds; a worker with one lost answer responds again before that."""
 MAX_NEEDS: Final = 4
--- a/heatherkeel/dispatch/load.py
+++ b/heatherkeel/dispatch/load.py
@@ -9,7 +9,7 @@
 from heatherkeel.platform.operator import Capacity
 from heatherkeel.questions.messages import Need, PoolLoad
 
-from .const import MAX_NEEDS, UNHEARD_MS
+from .const import CAPACITY_GRACE_MS, MAX_NEEDS
 from .models import Worker
 from .open_steps import Urgency, find_urgency
 from .state import PartitionState, Pool
@@ -73,7 +73,9 @@
     """Return whether a listed worker is unresponsive or quarantined, so it offers no capacity."""
     if not worker.is_listed or worker.is_leaving:
         return False
-    is_unresponsive = worker.is_unresponsive and now_ms - worker.unresponsive_since_ms >= UNHEARD_MS
+    is_unresponsive = (
+        worker.is_unresponsive and now_ms - worker.unresponsive_since_ms >= CAPACITY_GRACE_MS
+    )
     return is_unresponsive or worker.quarantined_until_ms > now_ms
 
 
--- a/tests/dispatch/test_load.py
+++ b/tests/dispatch/test_load.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from heatherkeel.dispatch.const import UNHEARD_MS
+from heatherkeel.dispatch.const import CAPACITY_GRACE_MS
 from heatherkeel.dispatch.load import measure_pools
 from heatherkeel.dispatch.pools import enqueue_step
 from heatherkeel.platform.callers import StepRequest
@@ -111,7 +111,7 @@
     partition = Partition(workers=2, cpu=8000)
     partition.fail_listing("w0")
     assert measure_pools(partition.state)[0].unheard == []
-    partition.tick(UNHEARD_MS)
+    partition.tick(CAPACITY_GRACE_MS)
     assert measure_pools(partition.state)[0].unheard == ["w0"]
     partition.list_known_runs("w0")
     assert measure_pools(partition.state)[0].unheard == []
