--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -82,7 +82,7 @@
 the owner's process."""
 MAX_APPEND_RECORDS: Final = 400
 """Maximum number of records in one append, well below the store's limit in bytes."""
-LIVES_INTERVAL_MS: Final = 600
+MACHINE_LIST_INTERVAL_MS: Final = 600
 """Interval between readings of the list of machines while a worker with tasks is unresponsive, in
 milliseconds. The list shows a crash seconds before the worker's lease expires."""
 MIN_UNRESPONSIVE_MS: Final = 1200
--- a/heatherkeel/dispatch/inquiries.py
+++ b/heatherkeel/dispatch/inquiries.py
@@ -12,7 +12,7 @@
 from heatherkeel.platform.advice import Advisor, AdvisorClient
 from heatherkeel.platform.machines import MachineClient
 
-from .const import LIVES_INTERVAL_MS
+from .const import MACHINE_LIST_INTERVAL_MS
 from .events import AdviceReceived, AskAdvice, IncarnationsListed
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     async def async_watch_machines(self) -> None:
         """Read the list of machines while any worker with tasks is unresponsive."""
         while True:
-            await trio.sleep(LIVES_INTERVAL_MS / 1000)
+            await trio.sleep(MACHINE_LIST_INTERVAL_MS / 1000)
             unresponsive = [
                 w for w in self.owner.state.workers.values() if w.is_unresponsive and w.runs
             ]
--- a/tests/dispatch/crashing_pool.py
+++ b/tests/dispatch/crashing_pool.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from heatherkeel.dispatch.const import LEASE_MS, LIVES_INTERVAL_MS, TICK_MS, WATCH_WAIT_MS
+from heatherkeel.dispatch.const import LEASE_MS, MACHINE_LIST_INTERVAL_MS, TICK_MS, WATCH_WAIT_MS
 from heatherkeel.dispatch.events import IncarnationsListed, StartTask, StopAnswered, StopTask
 from heatherkeel.dispatch.models import Job, JobState, Run, RunState
 from heatherkeel.platform.errors import Failure
@@ -83,7 +83,7 @@
             self._update_dead_workers(ms)
             if ms % TICK_MS == 0:
                 partition.tick(0)
-            if ms % LIVES_INTERVAL_MS == 0:
+            if ms % MACHINE_LIST_INTERVAL_MS == 0:
                 alive = frozenset(self.alive)
                 partition.apply(IncarnationsListed(**partition.event_times(), worker_ids=alive))
         return self._collect_results()
