--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -106,7 +106,7 @@
 milliseconds; a worker with one lost answer responds again before that."""
 MAX_NEEDS: Final = 4
 """Maximum number of waiting steps' needs that a pool reports at once."""
-LASTING_SHARE: Final = 0.5
+LONG_RUNNING_FRACTION_PER_WORKER: Final = 0.5
 """Fraction of a step's long-running tasks that may be on one worker. Spread over more workers they
 would keep more machines from being moved."""
 STALLED_MS: Final = 1200
--- a/heatherkeel/dispatch/placement.py
+++ b/heatherkeel/dispatch/placement.py
@@ -6,7 +6,7 @@
 
 from heatherkeel.platform.callers import StepRequest
 
-from .const import LASTING_SHARE, MAX_MISFITS
+from .const import LONG_RUNNING_FRACTION_PER_WORKER, MAX_MISFITS
 from .events import Effects, SaveJob, StartTask
 from .models import JobState, Run, RunState, Step, Task, Worker
 from .pools import find_pool
@@ -154,7 +154,7 @@
     should have one. No worker gets more than a fraction of the step, and racks are spread, so
     that a lost one stops only some tasks. Machines that are due for maintenance come last.
     """
-    limit = max(1, ceil(LASTING_SHARE * len(step.tasks)))
+    limit = max(1, ceil(LONG_RUNNING_FRACTION_PER_WORKER * len(step.tasks)))
     racks = {candidate.rack() for candidate in workers if step.runs_on(candidate.id)}
     best: Worker | None = None
     best_rank: tuple[bool, bool, bool, bool, int, str] | None = None
