--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -35,7 +35,7 @@
         id=worker.id,
         entry=entry,
         born=born,
-        former=worker.former | ({worker.born} - {0, born}),
+        earlier_born=worker.earlier_born | ({worker.born} - {0, born}),
         earlier_leases_until_ms=state.now_ms + round(state.longest_lease_ms * SLOWEST_CLOCK),
         sole_suspect=find_sole_suspect(worker),
         is_leaving=worker.is_leaving,
@@ -91,7 +91,7 @@
 ) -> None:
     """Drop an incarnation that has ended, and ignore its entry while it is still read."""
     earlier = state.ended_incarnations.get(worker.id, frozenset())
-    state.ended_incarnations[worker.id] = earlier | worker.former | {worker.born}
+    state.ended_incarnations[worker.id] = earlier | worker.earlier_born | {worker.born}
     drop_worker(state, worker, effects, reason=reason)
 
 
--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -229,7 +229,7 @@
     entry: WorkerEntry
     born: int = 0
     """Start time of this incarnation, in milliseconds since 1970; 0 while unknown."""
-    former: frozenset[int] = frozenset()
+    earlier_born: frozenset[int] = frozenset()
     """Start times of earlier incarnations under this ID, whose entries may still be read."""
     sole_suspect: Job | None = None
     """The only job that may have crashed the previous incarnation, if there is just one."""
@@ -280,7 +280,7 @@
 
         If the wall clock was set back, a later incarnation may have the smaller start time.
         """
-        return born in self.former or 0 < born < self.born
+        return born in self.earlier_born or 0 < born < self.born
 
     def was_sent_before(self, run: Run) -> bool:
         """Return whether a run was sent to an earlier incarnation and isn't listed in this one."""
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -92,7 +92,7 @@
     """Return the worker in the incarnation that has answered; None if that has ended."""
     worker = state.workers.get(event.worker_id)
     born = event.listing.born
-    if worker is None or born in worker.former:
+    if worker is None or born in worker.earlier_born:
         return None
     if worker.is_other_incarnation(born):
         return start_incarnation(state, worker, effects, entry=worker.entry, born=born)
