--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -282,7 +282,7 @@
         """
         return born in self.earlier_born or 0 < born < self.born
 
-    def was_sent_before(self, run: Run) -> bool:
+    def was_sent_to_earlier_incarnation(self, run: Run) -> bool:
         """Return whether a run was sent to an earlier incarnation and isn't listed in this one."""
         return self.is_other_incarnation(run.born)
 
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -140,7 +140,7 @@
     """
     if not worker.runs:
         return
-    is_shortened = any(worker.was_sent_before(run) for run in worker.runs.values())
+    is_shortened = any(worker.was_sent_to_earlier_incarnation(run) for run in worker.runs.values())
     lease_ms = state.longest_lease_ms if is_shortened else state.lease_ms
     worker.lease_until_ms = max(worker.lease_until_ms, clock_ms + lease_ms)
 
@@ -178,7 +178,7 @@
 
 def _lose_unlisted_run(state: PartitionState, worker: Worker, run: Run, effects: Effects) -> None:
     """Lose a run that isn't listed; one sent to an earlier incarnation was lost with it."""
-    ended_before = worker.was_sent_before(run)
+    ended_before = worker.was_sent_to_earlier_incarnation(run)
     reason = LossReason.WORKER_RESTARTED if ended_before else LossReason.RUN_NOT_LISTED
     is_sole = ended_before and run.task.step.job is worker.sole_suspect
     lose_run(state, run, effects, reason=reason, is_sole=is_sole)
