--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -111,7 +111,7 @@
 would keep more machines from being moved."""
 STALLED_MS: Final = 1200
 """Time without progress after which a task is stalled, in milliseconds."""
-FEWEST_STANDING: Final = 2
+MIN_STALLED_TASKS: Final = 2
 """Minimum number of stalled tasks for a worker to count as stalled; all of its tasks must be."""
 PACE_INTERVAL_MS: Final = 450
 """Interval between checks of a worker's tail latencies, in milliseconds; they cover the last
--- a/heatherkeel/dispatch/standing.py
+++ b/heatherkeel/dispatch/standing.py
@@ -5,8 +5,8 @@
 import logging
 
 from .const import (
-    FEWEST_STANDING,
     MAX_QUARANTINED_FRACTION,
+    MIN_STALLED_TASKS,
     QUARANTINE_MS,
     STALLED_MS,
 )
@@ -27,7 +27,7 @@
     """
     runs = [run for run in worker.runs.values() if _can_stall(run)]
     stalled = [run for run in runs if state.now_ms - run.moved_ms >= STALLED_MS]
-    if len(stalled) < max(FEWEST_STANDING, len(runs)):
+    if len(stalled) < max(MIN_STALLED_TASKS, len(runs)):
         return
     if not quarantine_worker(state, worker, why=f"{len(stalled)} tasks stand still"):
         return
