--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -80,7 +80,7 @@
     """When its worker first listed it; 0 if it never did."""
     is_proven: bool = False
     """It has run for long enough not to be suspected of crashing its worker."""
-    moved_ms: int = 0
+    progressed_ms: int = 0
     """When its progress was first reported, or last changed."""
     figure: float = 0.0
     pace: int = 100
--- a/heatherkeel/dispatch/standing.py
+++ b/heatherkeel/dispatch/standing.py
@@ -26,7 +26,7 @@
     no task fails. A single stalled task may be its own fault, so several are needed.
     """
     runs = [run for run in worker.runs.values() if _can_stall(run)]
-    stalled = [run for run in runs if state.now_ms - run.moved_ms >= STALLED_MS]
+    stalled = [run for run in runs if state.now_ms - run.progressed_ms >= STALLED_MS]
     if len(stalled) < max(MIN_STALLED_TASKS, len(runs)):
         return
     if not quarantine_worker(state, worker, why=f"{len(stalled)} tasks stand still"):
@@ -60,4 +60,4 @@
 def _can_stall(run: Run) -> bool:
     request = run.task.step.request
     is_plain = not request.lasts and not request.is_gang and not request.fills
-    return run.state is RunState.RUNNING and is_plain and run.moved_ms > 0
+    return run.state is RunState.RUNNING and is_plain and run.progressed_ms > 0
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -190,8 +190,8 @@
         run.answered_ms = now_ms
         run.state = RunState.RUNNING
     run.listed_since_ms = run.listed_since_ms or now_ms
-    if row.percent != run.percent or not run.moved_ms:
-        run.moved_ms = now_ms
+    if row.percent != run.percent or not run.progressed_ms:
+        run.progressed_ms = now_ms
     run.percent = row.percent
     run.figure = row.figure
     if row.saved:
