--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -116,7 +116,7 @@
 PACE_INTERVAL_MS: Final = 450
 """Interval between checks of a worker's tail latencies, in milliseconds; they cover the last
 500."""
-PACE_DOWN_SHARE: Final = 0.85
+PACE_DOWN_FRACTION: Final = 0.85
 """Fraction of its target from which a tail latency slows down the best-effort tasks beside it."""
 PACE_CALM_SHARE: Final = 0.6
 """Fraction of its target up to which a tail latency lets them speed up."""
--- a/heatherkeel/dispatch/pacing.py
+++ b/heatherkeel/dispatch/pacing.py
@@ -7,7 +7,7 @@
 from .const import (
     PACE_CALM_SHARE,
     PACE_CALM_STEP,
-    PACE_DOWN_SHARE,
+    PACE_DOWN_FRACTION,
     PACE_INTERVAL_MS,
     PACE_LOWEST,
 )
@@ -57,7 +57,7 @@
     A pace below 0 is unknown, since the last order wasn't answered; it counts as full pace.
     """
     known = FULL_PACE if pace < 0 else pace
-    if tail_fraction >= PACE_DOWN_SHARE:
+    if tail_fraction >= PACE_DOWN_FRACTION:
         return 0 if known <= PACE_LOWEST else known // 2
     if tail_fraction <= PACE_CALM_SHARE:
         return min(FULL_PACE, known + PACE_CALM_STEP)
