--- a/heatherkeel/dispatch/pacing.py
+++ b/heatherkeel/dispatch/pacing.py
@@ -5,11 +5,11 @@
 import logging
 
 from .const import (
-    PACE_CALM_SHARE,
     PACE_CALM_STEP,
     PACE_DOWN_FRACTION,
     PACE_INTERVAL_MS,
     PACE_LOWEST,
+    PACE_UP_FRACTION,
 )
 from .events import Effects, PaceTask
 from .models import Run, RunState, Worker
@@ -59,7 +59,7 @@
     known = FULL_PACE if pace < 0 else pace
     if tail_fraction >= PACE_DOWN_FRACTION:
         return 0 if known <= PACE_LOWEST else known // 2
-    if tail_fraction <= PACE_CALM_SHARE:
+    if tail_fraction <= PACE_UP_FRACTION:
         return min(FULL_PACE, known + PACE_CALM_STEP)
     return known
 
