--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -120,7 +120,7 @@
 """Fraction of its target from which a tail latency slows down the best-effort tasks beside it."""
 PACE_UP_FRACTION: Final = 0.6
 """Fraction of its target up to which a tail latency lets them speed up."""
-PACE_CALM_STEP: Final = 10
+PACE_UP_STEP: Final = 10
 """By how much they speed up with each check, in percent."""
 PACE_LOWEST: Final = 25
 """Pace from which the next step down is a stop, in percent."""
--- a/heatherkeel/dispatch/pacing.py
+++ b/heatherkeel/dispatch/pacing.py
@@ -5,11 +5,11 @@
 import logging
 
 from .const import (
-    PACE_CALM_STEP,
     PACE_DOWN_FRACTION,
     PACE_INTERVAL_MS,
     PACE_LOWEST,
     PACE_UP_FRACTION,
+    PACE_UP_STEP,
 )
 from .events import Effects, PaceTask
 from .models import Run, RunState, Worker
@@ -60,7 +60,7 @@
     if tail_fraction >= PACE_DOWN_FRACTION:
         return 0 if known <= PACE_LOWEST else known // 2
     if tail_fraction <= PACE_UP_FRACTION:
-        return min(FULL_PACE, known + PACE_CALM_STEP)
+        return min(FULL_PACE, known + PACE_UP_STEP)
     return known
 
 
