--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -342,7 +342,7 @@
         session = self.sessions.get(worker.id)
         if session is not None and session.worker is worker:
             worker.last_stored_end = max(worker.last_stored_end, effect.number)
-            session.take_stored()
+            session.notify_stored()
 
     def _delete_records(self, effect: ForgetJob) -> None:
         """Delete unneeded records; a request only after the end of its job is stored."""
--- a/heatherkeel/dispatch/session.py
+++ b/heatherkeel/dispatch/session.py
@@ -54,7 +54,7 @@
         self.send_order.send_nowait(effect)
         self.work_came.set()
 
-    def take_stored(self) -> None:
+    def notify_stored(self) -> None:
         """Wake the listing loop after ends were stored, so that it can acknowledge them."""
         self.stored.set()
 
