--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -94,7 +94,7 @@
 still be removed."""
 SENDERS: Final = 2
 """Orders to one worker that may be in flight at once."""
-CURRENT_MS: Final = 1500
+MAX_READ_AGE_MS: Final = 1500
 """Age of the last read of the partition from which an owner no longer reports a job as unknown, in
 milliseconds: callers may rely on a job being known 3,000 ms after it was accepted."""
 FOLLOW_WAIT_MS: Final = 1000
--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -19,7 +19,7 @@
 from heatherkeel.platform.store import StoreClient
 
 from . import subjects  # noqa: F401
-from .const import CURRENT_MS, ENTRY_MARGIN_MS, FOLLOW_WAIT_MS, LEASE_MS, TICK_MS
+from .const import ENTRY_MARGIN_MS, FOLLOW_WAIT_MS, LEASE_MS, MAX_READ_AGE_MS, TICK_MS
 from .dropping import RequestDropper
 from .events import (
     AcknowledgeEnds,
@@ -146,7 +146,7 @@
             self.is_restored
             and self.can_order()
             and follower is not None
-            and monotonic_ms() - follower.read_ms < CURRENT_MS
+            and monotonic_ms() - follower.read_ms < MAX_READ_AGE_MS
         )
 
     def times(self) -> tuple[int, int]:
