--- a/heatherkeel/dispatch/session.py
+++ b/heatherkeel/dispatch/session.py
@@ -45,14 +45,14 @@
         self.worker = worker
         self.client = WorkerClient(worker_id=worker.id, address=worker.entry.address)
         self.scope = trio.CancelScope()
-        self.work_came = trio.Event()
+        self.work_arrived = trio.Event()
         self.stored = trio.Event()
         self.send_order, self.orders = trio.open_memory_channel[Effect](_MAX_ORDERS)
 
     def give(self, effect: Effect) -> None:
         """Queue an order."""
         self.send_order.send_nowait(effect)
-        self.work_came.set()
+        self.work_arrived.set()
 
     def notify_stored(self) -> None:
         """Wake the listing loop after ends were stored, so that it can acknowledge them."""
@@ -90,8 +90,8 @@
                 self.stored = trio.Event()
             elif not self.worker.runs:
                 with trio.move_on_after(IDLE_LIST_MS / 1000):
-                    await self.work_came.wait()
-                self.work_came = trio.Event()
+                    await self.work_arrived.wait()
+                self.work_arrived = trio.Event()
 
     async def _async_list_once(self) -> bool:
         worker = self.worker
@@ -176,7 +176,7 @@
             self.owner.on_fenced()
         if error is not None:
             # List at once to find out whether the worker still responds.
-            self.work_came.set()
+            self.work_arrived.set()
         now_ms, wall_ms = self.owner.times()
         self.owner.handle_event(StartAnswered(now_ms=now_ms, wall_ms=wall_ms, run=run, error=error))
 
--- a/heatherkeel/dispatch/standing.py
+++ b/heatherkeel/dispatch/standing.py
@@ -41,8 +41,10 @@
     Returns whether the worker was quarantined.
     """
     pool = find_pool(state, worker.entry.service)
-    aside = sum(1 for other in pool.workers.values() if other.quarantined_until_ms > state.now_ms)
-    if aside + 1 > MAX_QUARANTINED_FRACTION * len(pool.workers):
+    quarantined = sum(
+        1 for other in pool.workers.values() if other.quarantined_until_ms > state.now_ms
+    )
+    if quarantined + 1 > MAX_QUARANTINED_FRACTION * len(pool.workers):
         return False
     worker.quarantined_until_ms = state.now_ms + QUARANTINE_MS
     _LOGGER.warning(
--- a/heatherkeel/dispatch/state.py
+++ b/heatherkeel/dispatch/state.py
@@ -66,8 +66,8 @@
 
     def has_incarnation_ended(self, worker_id: str, born: int) -> bool:
         """Return whether an incarnation has ended; a start time of 0 matches any."""
-        gone = self.ended_incarnations.get(worker_id)
-        return gone is not None and (not born or born in gone)
+        ended_starts = self.ended_incarnations.get(worker_id)
+        return ended_starts is not None and (not born or born in ended_starts)
 
     def find_job(self, job_id: str) -> Job | None:
         """Return a job, including one that has ended."""
