--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -259,7 +259,7 @@
                 session = WorkerSession(owner=self, worker=worker)
                 self.sessions[worker.id] = session
                 for effect in self.pending_orders.pop(worker.id, []):
-                    session.give(effect)
+                    session.queue_order(effect)
                 self.nursery.start_soon(session.async_run)
         for worker_id in self.sessions.keys() - self.state.workers.keys():
             self.sessions.pop(worker_id).close()
@@ -333,7 +333,7 @@
     def _send_order(self, worker_id: str, effect: Effect) -> None:
         session = self.sessions.get(worker_id)
         if session is not None:
-            session.give(effect)
+            session.queue_order(effect)
         else:
             self.pending_orders.setdefault(worker_id, []).append(effect)
 
--- a/heatherkeel/dispatch/session.py
+++ b/heatherkeel/dispatch/session.py
@@ -49,7 +49,7 @@
         self.stored = trio.Event()
         self.send_order, self.orders = trio.open_memory_channel[Effect](_MAX_ORDERS)
 
-    def give(self, effect: Effect) -> None:
+    def queue_order(self, effect: Effect) -> None:
         """Queue an order."""
         self.send_order.send_nowait(effect)
         self.work_arrived.set()
