--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -152,7 +152,7 @@
     is_open: bool = False
     """All steps that it depends on are done."""
     tickets: dict[str, Ticket] = field(default_factory=dict)
-    barred: set[str] = field(default_factory=set)
+    disallowed_workers: set[str] = field(default_factory=set)
     """Workers that the advisor doesn't allow to run it."""
     advice_asked_ms: int = 0
     """When the pending query to the advisor was sent; 0 if none is pending."""
--- a/heatherkeel/dispatch/tickets.py
+++ b/heatherkeel/dispatch/tickets.py
@@ -44,7 +44,7 @@
     unknown = [
         worker
         for worker in workers
-        if worker.id not in step.barred and not _has_valid_ticket(state, step, worker)
+        if worker.id not in step.disallowed_workers and not _has_valid_ticket(state, step, worker)
     ]
     unknown.sort(key=lambda worker: (-worker.free_cpu(), worker.id))
     worker_ids = tuple(worker.id for worker in unknown[:MAX_ADVISED])
@@ -63,7 +63,7 @@
     for worker_id in event.worker_ids:
         text = event.tickets.get(worker_id)
         if text is None:
-            step.barred.add(worker_id)
+            step.disallowed_workers.add(worker_id)
         else:
             until_ms = event.asked_ms + event.validity_ms
             step.tickets[worker_id] = Ticket(text=text, until_ms=until_ms)
