--- a/heatherkeel/dispatch/incarnations.py
+++ b/heatherkeel/dispatch/incarnations.py
@@ -74,7 +74,7 @@
     successor.add(run)
     if run.state is RunState.SENT:
         # No answer is expected any more.
-        run.unanswered_ms = state.now_ms
+        run.start_timed_out_ms = state.now_ms
     elif run.state is RunState.STOPPING:
         run.answered_ms = None
         effects.add(StopTask(run=run))
--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -64,7 +64,7 @@
     answered_ms: int | None = None
     """When the worker answered the last order about it; None while one is unanswered. A listing
     requested later without the run proves that it isn't there."""
-    unanswered_ms: int | None = None
+    start_timed_out_ms: int | None = None
     """When waiting for the answer to its start ended; None if it was answered or isn't sent."""
     started_ms: int = 0
     is_doubtful: bool = False
--- a/heatherkeel/dispatch/orders.py
+++ b/heatherkeel/dispatch/orders.py
@@ -78,7 +78,7 @@
         return
     run.state = RunState.SENT
     if run.task.step.request.lasts:
-        run.unanswered_ms = event.now_ms
+        run.start_timed_out_ms = event.now_ms
     else:
         stop_run(state, run, effects)
 
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -171,8 +171,8 @@
             continue
         if is_proved:
             _lose_unlisted_run(state, worker, run, effects)
-        elif run.unanswered_ms is not None and run.unanswered_ms < sent_ms:
-            run.unanswered_ms = None
+        elif run.start_timed_out_ms is not None and run.start_timed_out_ms < sent_ms:
+            run.start_timed_out_ms = None
             stop_run(state, run, effects)
 
 
@@ -185,8 +185,8 @@
 
 
 def _update_run(run: Run, row: RunningTask, now_ms: int) -> None:
-    if run.unanswered_ms is not None:
-        run.unanswered_ms = None
+    if run.start_timed_out_ms is not None:
+        run.start_timed_out_ms = None
         run.answered_ms = now_ms
         run.state = RunState.RUNNING
     run.listed_since_ms = run.listed_since_ms or now_ms
