--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -92,7 +92,7 @@
 """How long a worker counts as leaving without being named again, in milliseconds. It must exceed
 the age of the reports that the fleet's owner acts on, so that nothing starts on a machine that may
 still be removed."""
-SENDERS: Final = 2
+ORDER_SENDERS: Final = 2
 """Orders to one worker that may be in flight at once."""
 MAX_READ_AGE_MS: Final = 1500
 """Age of the last read of the partition from which an owner no longer reports a job as unknown, in
--- a/heatherkeel/dispatch/session.py
+++ b/heatherkeel/dispatch/session.py
@@ -16,7 +16,7 @@
     FAILED_LIST_PAUSE_MS,
     IDLE_LIST_MS,
     LIST_WAIT_MS,
-    SENDERS,
+    ORDER_SENDERS,
     WATCH_WAIT_MS,
 )
 from .events import (
@@ -62,7 +62,7 @@
         """Send listings and orders until the owner closes the session."""
         with self.scope:
             async with trio.open_nursery() as nursery:
-                for _ in range(SENDERS):
+                for _ in range(ORDER_SENDERS):
                     nursery.start_soon(self._async_send_orders)
                 await self._async_list()
         with trio.CancelScope(shield=True):
