--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -124,7 +124,7 @@
 """By how much they speed up with each check, in percent."""
 PACE_LOWEST: Final = 25
 """Pace from which the next step down is a stop, in percent."""
-MAX_ADVISED: Final = 30
+MAX_ADVICE_WORKERS: Final = 30
 """Maximum number of workers named in one query to the advisor, which takes time for each."""
 ADVICE_RETRY_MS: Final = 1500
 """When an unanswered query is repeated, in milliseconds."""
--- a/heatherkeel/dispatch/tickets.py
+++ b/heatherkeel/dispatch/tickets.py
@@ -4,7 +4,7 @@
 
 from heatherkeel.platform.operator import Queue
 
-from .const import ADVICE_RETRY_MS, MAX_ADVISED, TICKET_MARGIN_MS
+from .const import ADVICE_RETRY_MS, MAX_ADVICE_WORKERS, TICKET_MARGIN_MS
 from .events import AdviceReceived, AskAdvice, Effects
 from .models import Step, Ticket, Worker
 from .registry import handles
@@ -47,7 +47,7 @@
         if worker.id not in step.disallowed_workers and not _has_valid_ticket(state, step, worker)
     ]
     unknown.sort(key=lambda worker: (-worker.free_cpu(), worker.id))
-    worker_ids = tuple(worker.id for worker in unknown[:MAX_ADVISED])
+    worker_ids = tuple(worker.id for worker in unknown[:MAX_ADVICE_WORKERS])
     if worker_ids:
         step.advice_asked_ms = state.now_ms
         effects.add(AskAdvice(step=step, worker_ids=worker_ids))
