--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -131,6 +131,6 @@
 TICKET_MARGIN_MS: Final = 150
 """Remaining validity below which a ticket isn't used, in milliseconds: a start is stored before it
 is sent."""
-MAX_LOOKED_AT: Final = 200
+MAX_STEPS_EXAMINED: Final = 200
 """Maximum number of steps of one urgency that one placement pass examines; the next event
 continues."""
--- a/heatherkeel/dispatch/open_steps.py
+++ b/heatherkeel/dispatch/open_steps.py
@@ -14,7 +14,7 @@
     ESTIMATE_SLACK,
     LAST_CHANCE_MS,
     LATER_BY_WORK,
-    MAX_LOOKED_AT,
+    MAX_STEPS_EXAMINED,
     RESCUE_MS,
 )
 from .models import Step
@@ -119,7 +119,7 @@
         since = (float(now_ms - LAST_CHANCE_MS),)
         until = (float(now_ms + LAST_CHANCE_MS), "\U0010ffff")
         found = self.late_by_last_start.irange(since, until)
-        steps = [step for *_, step in islice(found, MAX_LOOKED_AT)]
+        steps = [step for *_, step in islice(found, MAX_STEPS_EXAMINED)]
         left = RESCUE_MS * self.cores
         rescued = []
         for step in sorted(steps, key=lambda step: (step.work, step.name())):
@@ -134,7 +134,7 @@
 
     def _iter_steps(self, urgency: Urgency, entries: SortedList, now_ms: int) -> Iterator[Step]:
         """Yield entries' steps that still have an urgency, and move the others to their new one."""
-        for entry in list(islice(entries, MAX_LOOKED_AT)):
+        for entry in list(islice(entries, MAX_STEPS_EXAMINED)):
             step = entry[-1]
             if step not in self.entries:
                 continue
