--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -66,7 +66,7 @@
 have been lost for another reason."""
 MAX_DOUBTFUL_RUNS: Final = 3
 """Unresponsive or lost workers under a task before no further copy of it starts."""
-APART_CRASHES: Final = 2
+ISOLATION_CRASHES: Final = 2
 """Crashes from which a task starts only on workers without suspected tasks of other jobs."""
 PROVEN_MS: Final = 2000
 """How long a worker must have listed a run before the run is no longer suspected of crashing it, in
--- a/heatherkeel/dispatch/suspicion.py
+++ b/heatherkeel/dispatch/suspicion.py
@@ -9,7 +9,7 @@
 import logging
 
 from .const import (
-    APART_CRASHES,
+    ISOLATION_CRASHES,
     MAX_CRASHES,
     MAX_SOLE_CRASHES,
     MAX_SUDDEN_CRASHES,
@@ -118,8 +118,8 @@
     if not job.crashes and not any(worker.suspects for worker in workers):
         return [workers]
     crashes = {worker.id: _max_crashes(worker, job) for worker in workers}
-    allowed = [worker for worker in workers if crashes[worker.id] < APART_CRASHES]
-    if step.request.lasts and job.crashes < APART_CRASHES:
+    allowed = [worker for worker in workers if crashes[worker.id] < ISOLATION_CRASHES]
+    if step.request.lasts and job.crashes < ISOLATION_CRASHES:
         return [allowed]
     unsuspected = [worker for worker in allowed if not crashes[worker.id]]
     choices = [unsuspected, allowed]
