--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -66,7 +66,7 @@
 have been lost for another reason."""
 MAX_DOUBTFUL_RUNS: Final = 3
 """Unresponsive or lost workers under a task before no further copy of it starts."""
-APART_CRASHES: Final = 2
+ISOLATION_CRASHES: Final = 2
 """Crashes from which a task starts only on workers without suspected tasks of other jobs."""
 PROVEN_MS: Final = 2000
 """How long a worker must have listed a run before the run is no longer suspected of crashing it, in
@@ -92,9 +92,9 @@
 """How long a worker counts as leaving without being named again, in milliseconds. It must exceed
 the age of the reports that the fleet's owner acts on, so that nothing starts on a machine that may
 still be removed."""
-SENDERS: Final = 2
+ORDER_SENDERS: Final = 2
 """Orders to one worker that may be in flight at once."""
-CURRENT_MS: Final = 1500
+MAX_READ_AGE_MS: Final = 1500
 """Age of the last read of the partition from which an owner no longer reports a job as unknown, in
 milliseconds: callers may rely on a job being known 3,000 ms after it was accepted."""
 FOLLOW_WAIT_MS: Final = 1000
@@ -106,31 +106,31 @@
 milliseconds; a worker with one lost answer responds again before that."""
 MAX_NEEDS: Final = 4
 """Maximum number of waiting steps' needs that a pool reports at once."""
-LASTING_SHARE: Final = 0.5
+LONG_RUNNING_FRACTION_PER_WORKER: Final = 0.5
 """Fraction of a step's long-running tasks that may be on one worker. Spread over more workers they
 would keep more machines from being moved."""
 STALLED_MS: Final = 1200
 """Time without progress after which a task is stalled, in milliseconds."""
-FEWEST_STANDING: Final = 2
+MIN_STALLED_TASKS: Final = 2
 """Minimum number of stalled tasks for a worker to count as stalled; all of its tasks must be."""
 PACE_INTERVAL_MS: Final = 450
 """Interval between checks of a worker's tail latencies, in milliseconds; they cover the last
 500."""
-PACE_DOWN_SHARE: Final = 0.85
+PACE_DOWN_FRACTION: Final = 0.85
 """Fraction of its target from which a tail latency slows down the best-effort tasks beside it."""
-PACE_CALM_SHARE: Final = 0.6
+PACE_UP_FRACTION: Final = 0.6
 """Fraction of its target up to which a tail latency lets them speed up."""
-PACE_CALM_STEP: Final = 10
+PACE_UP_STEP: Final = 10
 """By how much they speed up with each check, in percent."""
 PACE_LOWEST: Final = 25
 """Pace from which the next step down is a stop, in percent."""
-MAX_ADVISED: Final = 30
+MAX_ADVICE_WORKERS: Final = 30
 """Maximum number of workers named in one query to the advisor, which takes time for each."""
 ADVICE_RETRY_MS: Final = 1500
 """When an unanswered query is repeated, in milliseconds."""
 TICKET_MARGIN_MS: Final = 150
 """Remaining validity below which a ticket isn't used, in milliseconds: a start is stored before it
 is sent."""
-MAX_LOOKED_AT: Final = 200
+MAX_STEPS_EXAMINED: Final = 200
 """Maximum number of steps of one urgency that one placement pass examines; the next event
 continues."""
--- a/heatherkeel/dispatch/models.py
+++ b/heatherkeel/dispatch/models.py
@@ -64,7 +64,7 @@
     answered_ms: int | None = None
     """When the worker answered the last order about it; None while one is unanswered. A listing
     requested later without the run proves that it isn't there."""
-    unanswered_ms: int | None = None
+    start_timed_out_ms: int | None = None
     """When waiting for the answer to its start ended; None if it was answered or isn't sent."""
     started_ms: int = 0
     is_doubtful: bool = False
@@ -80,7 +80,7 @@
     """When its worker first listed it; 0 if it never did."""
     is_proven: bool = False
     """It has run for long enough not to be suspected of crashing its worker."""
-    moved_ms: int = 0
+    progressed_ms: int = 0
     """When its progress was first reported, or last changed."""
     figure: float = 0.0
     pace: int = 100
@@ -152,7 +152,7 @@
     is_open: bool = False
     """All steps that it depends on are done."""
     tickets: dict[str, Ticket] = field(default_factory=dict)
-    barred: set[str] = field(default_factory=set)
+    disallowed_workers: set[str] = field(default_factory=set)
     """Workers that the advisor doesn't allow to run it."""
     advice_asked_ms: int = 0
     """When the pending query to the advisor was sent; 0 if none is pending."""
@@ -229,7 +229,7 @@
     entry: WorkerEntry
     born: int = 0
     """Start time of this incarnation, in milliseconds since 1970; 0 while unknown."""
-    former: frozenset[int] = frozenset()
+    earlier_born: frozenset[int] = frozenset()
     """Start times of earlier incarnations under this ID, whose entries may still be read."""
     sole_suspect: Job | None = None
     """The only job that may have crashed the previous incarnation, if there is just one."""
@@ -280,9 +280,9 @@
 
         If the wall clock was set back, a later incarnation may have the smaller start time.
         """
-        return born in self.former or 0 < born < self.born
+        return born in self.earlier_born or 0 < born < self.born
 
-    def was_sent_before(self, run: Run) -> bool:
+    def was_sent_to_earlier_incarnation(self, run: Run) -> bool:
         """Return whether a run was sent to an earlier incarnation and isn't listed in this one."""
         return self.is_other_incarnation(run.born)
 
--- a/heatherkeel/dispatch/owner.py
+++ b/heatherkeel/dispatch/owner.py
@@ -19,7 +19,7 @@
 from heatherkeel.platform.store import StoreClient
 
 from . import subjects  # noqa: F401
-from .const import CURRENT_MS, ENTRY_MARGIN_MS, FOLLOW_WAIT_MS, LEASE_MS, TICK_MS
+from .const import ENTRY_MARGIN_MS, FOLLOW_WAIT_MS, LEASE_MS, MAX_READ_AGE_MS, TICK_MS
 from .dropping import RequestDropper
 from .events import (
     AcknowledgeEnds,
@@ -146,7 +146,7 @@
             self.is_restored
             and self.can_order()
             and follower is not None
-            and monotonic_ms() - follower.read_ms < CURRENT_MS
+            and monotonic_ms() - follower.read_ms < MAX_READ_AGE_MS
         )
 
     def times(self) -> tuple[int, int]:
@@ -259,7 +259,7 @@
                 session = WorkerSession(owner=self, worker=worker)
                 self.sessions[worker.id] = session
                 for effect in self.pending_orders.pop(worker.id, []):
-                    session.give(effect)
+                    session.queue_order(effect)
                 self.nursery.start_soon(session.async_run)
         for worker_id in self.sessions.keys() - self.state.workers.keys():
             self.sessions.pop(worker_id).close()
@@ -333,7 +333,7 @@
     def _send_order(self, worker_id: str, effect: Effect) -> None:
         session = self.sessions.get(worker_id)
         if session is not None:
-            session.give(effect)
+            session.queue_order(effect)
         else:
             self.pending_orders.setdefault(worker_id, []).append(effect)
 
@@ -342,7 +342,7 @@
         session = self.sessions.get(worker.id)
         if session is not None and session.worker is worker:
             worker.last_stored_end = max(worker.last_stored_end, effect.number)
-            session.take_stored()
+            session.notify_stored()
 
     def _delete_records(self, effect: ForgetJob) -> None:
         """Delete unneeded records; a request only after the end of its job is stored."""
--- a/heatherkeel/dispatch/pacing.py
+++ b/heatherkeel/dispatch/pacing.py
@@ -5,11 +5,11 @@
 import logging
 
 from .const import (
-    PACE_CALM_SHARE,
-    PACE_CALM_STEP,
-    PACE_DOWN_SHARE,
+    PACE_DOWN_FRACTION,
     PACE_INTERVAL_MS,
     PACE_LOWEST,
+    PACE_UP_FRACTION,
+    PACE_UP_STEP,
 )
 from .events import Effects, PaceTask
 from .models import Run, RunState, Worker
@@ -57,10 +57,10 @@
     A pace below 0 is unknown, since the last order wasn't answered; it counts as full pace.
     """
     known = FULL_PACE if pace < 0 else pace
-    if tail_fraction >= PACE_DOWN_SHARE:
+    if tail_fraction >= PACE_DOWN_FRACTION:
         return 0 if known <= PACE_LOWEST else known // 2
-    if tail_fraction <= PACE_CALM_SHARE:
-        return min(FULL_PACE, known + PACE_CALM_STEP)
+    if tail_fraction <= PACE_UP_FRACTION:
+        return min(FULL_PACE, known + PACE_UP_STEP)
     return known
 
 
--- a/heatherkeel/dispatch/standing.py
+++ b/heatherkeel/dispatch/standing.py
@@ -5,8 +5,8 @@
 import logging
 
 from .const import (
-    FEWEST_STANDING,
     MAX_QUARANTINED_FRACTION,
+    MIN_STALLED_TASKS,
     QUARANTINE_MS,
     STALLED_MS,
 )
@@ -26,8 +26,8 @@
     no task fails. A single stalled task may be its own fault, so several are needed.
     """
     runs = [run for run in worker.runs.values() if _can_stall(run)]
-    stalled = [run for run in runs if state.now_ms - run.moved_ms >= STALLED_MS]
-    if len(stalled) < max(FEWEST_STANDING, len(runs)):
+    stalled = [run for run in runs if state.now_ms - run.progressed_ms >= STALLED_MS]
+    if len(stalled) < max(MIN_STALLED_TASKS, len(runs)):
         return
     if not quarantine_worker(state, worker, why=f"{len(stalled)} tasks stand still"):
         return
@@ -41,8 +41,10 @@
     Returns whether the worker was quarantined.
     """
     pool = find_pool(state, worker.entry.service)
-    aside = sum(1 for other in pool.workers.values() if other.quarantined_until_ms > state.now_ms)
-    if aside + 1 > MAX_QUARANTINED_FRACTION * len(pool.workers):
+    quarantined = sum(
+        1 for other in pool.workers.values() if other.quarantined_until_ms > state.now_ms
+    )
+    if quarantined + 1 > MAX_QUARANTINED_FRACTION * len(pool.workers):
         return False
     worker.quarantined_until_ms = state.now_ms + QUARANTINE_MS
     _LOGGER.warning(
@@ -60,4 +62,4 @@
 def _can_stall(run: Run) -> bool:
     request = run.task.step.request
     is_plain = not request.lasts and not request.is_gang and not request.fills
-    return run.state is RunState.RUNNING and is_plain and run.moved_ms > 0
+    return run.state is RunState.RUNNING and is_plain and run.progressed_ms > 0
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -92,7 +92,7 @@
     """Return the worker in the incarnation that has answered; None if that has ended."""
     worker = state.workers.get(event.worker_id)
     born = event.listing.born
-    if worker is None or born in worker.former:
+    if worker is None or born in worker.earlier_born:
         return None
     if worker.is_other_incarnation(born):
         return start_incarnation(state, worker, effects, entry=worker.entry, born=born)
@@ -140,7 +140,7 @@
     """
     if not worker.runs:
         return
-    is_shortened = any(worker.was_sent_before(run) for run in worker.runs.values())
+    is_shortened = any(worker.was_sent_to_earlier_incarnation(run) for run in worker.runs.values())
     lease_ms = state.longest_lease_ms if is_shortened else state.lease_ms
     worker.lease_until_ms = max(worker.lease_until_ms, clock_ms + lease_ms)
 
@@ -171,27 +171,27 @@
             continue
         if is_proved:
             _lose_unlisted_run(state, worker, run, effects)
-        elif run.unanswered_ms is not None and run.unanswered_ms < sent_ms:
-            run.unanswered_ms = None
+        elif run.start_timed_out_ms is not None and run.start_timed_out_ms < sent_ms:
+            run.start_timed_out_ms = None
             stop_run(state, run, effects)
 
 
 def _lose_unlisted_run(state: PartitionState, worker: Worker, run: Run, effects: Effects) -> None:
     """Lose a run that isn't listed; one sent to an earlier incarnation was lost with it."""
-    ended_before = worker.was_sent_before(run)
+    ended_before = worker.was_sent_to_earlier_incarnation(run)
     reason = LossReason.WORKER_RESTARTED if ended_before else LossReason.RUN_NOT_LISTED
     is_sole = ended_before and run.task.step.job is worker.sole_suspect
     lose_run(state, run, effects, reason=reason, is_sole=is_sole)
 
 
 def _update_run(run: Run, row: RunningTask, now_ms: int) -> None:
-    if run.unanswered_ms is not None:
-        run.unanswered_ms = None
+    if run.start_timed_out_ms is not None:
+        run.start_timed_out_ms = None
         run.answered_ms = now_ms
         run.state = RunState.RUNNING
     run.listed_since_ms = run.listed_since_ms or now_ms
-    if row.percent != run.percent or not run.moved_ms:
-        run.moved_ms = now_ms
+    if row.percent != run.percent or not run.progressed_ms:
+        run.progressed_ms = now_ms
     run.percent = row.percent
     run.figure = row.figure
     if row.saved:
