--- a/heatherkeel/ownership/member.py
+++ b/heatherkeel/ownership/member.py
@@ -139,7 +139,7 @@
             generation=self.ownership.generation,
         )
         if self.closing or self.is_paused or name != self.name:
-            # The process has left meanwhile; the platform may have handled the leave first.
+            # The process has left meanwhile, so the answer may be outdated.
             return 0
         if isinstance(joined, Err):
             self._update_connected(False, joined.err_value.detail)
