--- a/heatherkeel/helpers/__init__.py
+++ b/heatherkeel/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Small pieces that all subjects share."""
+"""Helpers that are shared by all packages."""
--- a/heatherkeel/helpers/addresses.py
+++ b/heatherkeel/helpers/addresses.py
@@ -1,4 +1,4 @@
-"""What can be told from an address alone."""
+"""Helpers for network addresses."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def is_loopback(bind: str) -> bool:
-    """Say whether an address `host:port` is reached from this machine only."""
+    """Return whether an address `host:port` is a loopback address."""
     return ipaddress.ip_address(bind.rpartition(":")[0]).is_loopback
--- a/heatherkeel/helpers/asgi.py
+++ b/heatherkeel/helpers/asgi.py
@@ -1,4 +1,4 @@
-"""The few ASGI steps that all our HTTP servers share."""
+"""ASGI helpers that are shared by all HTTP servers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ClientGoneError(Exception):
-    """The caller closed its connection before its request was read."""
+    """The caller closed its connection before its request was read completely."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -43,7 +43,7 @@
     receive: Receive = field(repr=False)
 
     async def async_body(self, *, limit_bytes: int) -> Result[bytes, BodyTooLarge]:
-        """Read the whole body; raises `ClientGoneError` if the caller hangs up before its end."""
+        """Read the whole body; raises `ClientGoneError` if the caller disconnects first."""
         parts: list[bytes] = []
         size = 0
         while True:
@@ -60,7 +60,7 @@
 
 
 def parse_request(scope: Message, receive: Receive) -> Request:
-    """Make a `Request` from an ASGI scope of type `http`."""
+    """Create a `Request` from an ASGI scope of type `http`."""
     query = parse_qs(scope["query_string"].decode("latin-1"))
     suffix = b"?" + scope["query_string"] if scope["query_string"] else b""
     return Request(
@@ -74,7 +74,7 @@
 
 
 def _join_headers(raw: Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
-    """Join lines of one name, as RFC 9110 (5.3) allows, so that none is lost."""
+    """Combine repeated headers into one value, as RFC 9110 (5.3) allows."""
     headers: dict[str, str] = {}
     for raw_name, raw_value in raw:
         name, value = raw_name.decode("latin-1").lower(), raw_value.decode("latin-1")
@@ -91,7 +91,7 @@
     content_type: str = JSON_TYPE,
     headers: Mapping[str, str] | None = None,
 ) -> None:
-    """Send a whole answer."""
+    """Send a complete response."""
     fields = {"content-type": content_type, "content-length": str(len(body)), **(headers or {})}
     raw = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in fields.items()]
     await send({"type": "http.response.start", "status": status, "headers": raw})
@@ -134,7 +134,7 @@
 
 
 async def async_run_lifespan(receive: Receive, send: Send) -> None:
-    """Answer the server's start and stop messages."""
+    """Acknowledge the server's startup and shutdown messages."""
     while True:
         message = await receive()
         if message["type"] == "lifespan.startup":
--- a/heatherkeel/helpers/backoff.py
+++ b/heatherkeel/helpers/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between tries that grow, and that differ between processes."""
+"""Exponential backoff with jitter."""
 
 from __future__ import annotations
 
@@ -6,10 +6,9 @@
 
 
 class Backoff:
-    """Doubles the pause up to a limit, and takes a random part of it.
+    """Doubles the delay up to a limit, and returns a random value from its upper half.
 
-    After an outage all processes would come back at the same moment and bring the platform
-    down again; between half and the whole of a grown pause spreads them.
+    The jitter keeps processes from reconnecting all at once after an outage.
     """
 
     def __init__(self, *, first_s: float, limit_s: float) -> None:
@@ -19,11 +18,11 @@
         self.random = random.Random()
 
     def reset(self) -> None:
-        """Begin again with the first pause."""
+        """Start again with the first delay."""
         self.tries = 0
 
     def next_s(self) -> float:
-        """Return the next pause in seconds."""
-        whole_s = min(self.limit_s, self.first_s * 2.0 ** min(self.tries, 32))
+        """Return the next delay in seconds."""
+        delay_s = min(self.limit_s, self.first_s * 2.0 ** min(self.tries, 32))
         self.tries += 1
-        return self.random.uniform(whole_s / 2, whole_s)
+        return self.random.uniform(delay_s / 2, delay_s)
--- a/heatherkeel/helpers/bounded_logs.py
+++ b/heatherkeel/helpers/bounded_logs.py
@@ -1,4 +1,4 @@
-"""Log lines on a stream whose reader may be slow or gone: bounded, and never waited for."""
+"""Non-blocking log output with bounded rate and buffer size."""
 
 from __future__ import annotations
 
@@ -11,16 +11,15 @@
 from .clock import monotonic_ms
 
 LINES_PER_SECOND: Final = 60
-"""Lines of one event a second at the most. A queue's turn brings some 25 jobs a second to one
-process; whatever comes more often than this says the same again."""
+"""Maximum number of lines per second for one event."""
 WINDOW_MS: Final = 1000
-MAX_WAITING_BYTES: Final = 64 * 1024
-"""What may wait for a slow reader, in bytes; beyond it lines are left out."""
+MAX_BUFFERED_BYTES: Final = 64 * 1024
+"""Maximum size of the output buffer in bytes; lines that exceed it are dropped."""
 
 
 @dataclass(kw_only=True, slots=True)
 class EventWindow:
-    """Lines of one event in the current second."""
+    """Counts the lines of one event in the current window."""
 
     began_ms: int
     written: int = 0
@@ -28,7 +27,7 @@
 
 
 class LineLimiter(logging.Filter):
-    """Lets so many lines of each event through a second, and tells how many were left out."""
+    """Limits the lines per second of each event, and reports how many were dropped."""
 
     def __init__(self, *, clock_ms: Callable[[], int] = monotonic_ms) -> None:
         super().__init__()
@@ -36,7 +35,7 @@
         self.windows: dict[str, EventWindow] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Say whether a line is written."""
+        """Return whether a line is written."""
         event = str(record.__dict__.get("event", record.name))
         now_ms = self.clock_ms()
         window = self.windows.get(event)
@@ -52,40 +51,39 @@
 
 
 class NonBlockingStream:
-    """Writes whole lines to a descriptor without ever waiting for its reader.
+    """Writes complete lines to a file descriptor without blocking.
 
-    A pipe whose reader stands still fills up, and a plain write would stop the one loop that
-    serves callers and renews leases. What doesn't fit waits up to a bound; then lines are left
-    out, whole, and the next one that fits tells how many.
+    A blocking write to a full pipe would stop the event loop, which serves callers and renews
+    leases. Output is buffered up to a limit; further lines are dropped and counted.
     """
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
-        self.waiting = b""
+        self.buffer = b""
         self.left_out = 0
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Take a line, or leave it out."""
+        """Buffer a line, or drop it if the buffer is full."""
         data = text.encode()
-        if self.left_out and len(self.waiting) < MAX_WAITING_BYTES // 2:
+        if self.left_out and len(self.buffer) < MAX_BUFFERED_BYTES // 2:
             data = f'{{"event": "lines_left_out", "count": {self.left_out}}}\n'.encode() + data
             self.left_out = 0
-        if len(self.waiting) + len(data) > MAX_WAITING_BYTES:
+        if len(self.buffer) + len(data) > MAX_BUFFERED_BYTES:
             self.left_out += 1
         else:
-            self.waiting += data
+            self.buffer += data
         return len(text)
 
     def flush(self) -> None:
-        """Write as much as the reader takes now."""
-        while self.waiting:
+        """Write as much of the buffer as possible without blocking."""
+        while self.buffer:
             try:
-                written = os.write(self.descriptor, self.waiting)
+                written = os.write(self.descriptor, self.buffer)
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone, and there is nowhere left to tell of it.
-                self.waiting = b""
+                # The reader has closed the pipe, so the error can't be reported.
+                self.buffer = b""
                 return
-            self.waiting = self.waiting[written:]
+            self.buffer = self.buffer[written:]
--- a/heatherkeel/helpers/clock.py
+++ b/heatherkeel/helpers/clock.py
@@ -6,12 +6,11 @@
 from typing import Final
 
 CLOCK: Final = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Goes on while the machine is suspended. The plain monotonic clock stands still then, and a
-lease would seem as fresh as before: its holder would send to targets that are stopped by now."""
+"""Includes time in suspend where possible, so that a lease expires while the machine sleeps."""
 
 
 def monotonic_ms() -> int:
-    """Return the monotonic clock in milliseconds."""
+    """Return the monotonic time in milliseconds."""
     return time.clock_gettime_ns(CLOCK) // 1_000_000
 
 
--- a/heatherkeel/helpers/faults.py
+++ b/heatherkeel/helpers/faults.py
@@ -1,4 +1,4 @@
-"""Finds every fault of a decoded document against a msgspec model; msgspec stops at the first."""
+"""Collects all validation errors of a decoded document; msgspec reports only the first."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 MAX_SHOWN_CHARS: Final = 60
 WHOLE_FILE: Final = "(file)"
-"""Stands for the key path of a fault that concerns no single key."""
+"""Key path of a fault that concerns the whole file."""
 SECRET: Final[Mapping[str, Any]] = {"secret": True}
-"""`Meta(extra=SECRET)` keeps a value out of messages, and so out of terminals and logs."""
+"""`Meta(extra=SECRET)` excludes a value from error messages."""
 
 _BARE_KEY: Final = re.compile(r"[A-Za-z0-9_-]+\Z")
 _MESSAGE_PATH: Final = re.compile(r" - at `\$(?P<path>[^`]*)`\Z")
@@ -29,9 +29,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Fault:
-    """One thing that is wrong, and where; `path` holds keys and list positions.
+    """A validation error and its position; `path` holds keys and list indexes.
 
-    `line` stands in place of a path where the text is no document yet.
+    `line` is set instead of `path` if the text could not be parsed.
     """
 
     path: Path
@@ -45,7 +45,7 @@
 
 
 def format_path(path: Path) -> str:
-    """Write a path as TOML does; a key with other characters is quoted, so it stays one line."""
+    """Format a path as in TOML; keys with special characters are quoted, so it stays one line."""
     text = ""
     for part in path:
         if isinstance(part, int):
@@ -57,17 +57,17 @@
 
 
 def collect_faults(value: object, model: Any) -> list[Fault]:
-    """Return every fault of `value`, which holds plain decoded data, against a type.
+    """Return all validation errors of decoded data against a type.
 
     An empty list means that `msgspec.convert(value, model)` succeeds.
     """
     found = list(_walk(value, model, ()))
-    # A kind of type that the walk doesn't know must not pass unseen.
+    # Let msgspec validate types that `_walk` does not support.
     return found or list(_check(value, model, ()))
 
 
 def split_hint(hint: Any) -> tuple[Any, tuple[Meta, ...]]:
-    """Part a type annotation into the bare type and its constraints."""
+    """Split a type annotation into the bare type and its constraints."""
     if get_origin(hint) is not Annotated:
         return hint, ()
     bare, *metas = get_args(hint)
@@ -80,14 +80,14 @@
 
 
 def is_struct(hint: Any) -> bool:
-    """Say whether a type is a msgspec struct that is encoded as a map."""
+    """Return whether a type is a msgspec struct that is encoded as a map."""
     if not (isinstance(hint, type) and issubclass(hint, msgspec.Struct)):
         return False
     return not hint.__struct_config__.array_like
 
 
 def pick_member(value: object, bare: Any) -> Any:
-    """Return the struct of a union that a map is meant to be, or the union itself."""
+    """Return the struct of a union that matches a map's tag, or the union itself."""
     if get_origin(bare) not in (Union, UnionType) or not isinstance(value, dict):
         return bare
     structs = [member for member in get_args(bare) if is_struct(member)]
@@ -120,7 +120,7 @@
         elif key == config.tag_field:
             yield from _check_tag(value[key], config.tag, (*path, key))
         elif config.forbid_unknown_fields:
-            yield Fault(path=(*path, key), reason=_unknown_key(key, known))
+            yield Fault(path=(*path, key), reason=_format_unknown_key(key, known))
     for key, field in known.items():
         if field.required and key not in value:
             yield Fault(path=(*path, key), reason="missing")
@@ -128,10 +128,10 @@
 
 def _check_tag(value: object, tag: object, path: Path) -> Iterator[Fault]:
     if value != tag:
-        yield Fault(path=path, reason=f"expected {tag!r}, got {_show(value)}")
+        yield Fault(path=path, reason=f"expected {tag!r}, got {_format_value(value)}")
 
 
-def _unknown_key(key: str, known: Mapping[str, FieldInfo]) -> str:
+def _format_unknown_key(key: str, known: Mapping[str, FieldInfo]) -> str:
     near = difflib.get_close_matches(key[:MAX_SHOWN_CHARS], known, n=1)
     return f"unknown key; did you mean {near[0]}?" if near else "unknown key"
 
@@ -166,7 +166,7 @@
         message = str(err)
         found = _MESSAGE_PATH.search(message)
         if found is None:
-            yield Fault(path=path, reason=_reason(value, hint, message))
+            yield Fault(path=path, reason=_format_reason(value, hint, message))
             return
         deeper = _PATH_PART.findall(found.group("path"))
         inside = tuple(key or int(index) for key, index in deeper)
@@ -178,21 +178,20 @@
     return text[:1].lower() + text[1:]
 
 
-def _reason(value: object, hint: Any, message: str) -> str:
+def _format_reason(value: object, hint: Any, message: str) -> str:
     bare, metas = split_hint(hint)
     text = _lower_first(message)
     described = [meta.description for meta in metas if meta.description]
-    # A constraint's own description says more to an operator than its pattern or bounds, but
-    # a value of another type is best told as such.
+    # Prefer a constraint's description to its pattern or bounds, except for a type mismatch.
     if described and " got " not in text:
         text = f"expected {described[0]}"
     secret = any((meta.extra or {}).get("secret") for meta in metas)
     if secret or " got " in text or is_struct(bare):
         return text
-    return f"{text}, got {_show(value)}"
+    return f"{text}, got {_format_value(value)}"
 
 
-def _show(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, dict | list):
         return type(value).__name__
     text = repr(value)
--- a/heatherkeel/helpers/groups.py
+++ b/heatherkeel/helpers/groups.py
@@ -1,10 +1,10 @@
-"""Looks into the groups in which the loop wraps what its tasks raise."""
+"""Helpers for exception groups."""
 
 from __future__ import annotations
 
 
 def find_system_error(err: BaseException) -> OSError | None:
-    """Return what the system refused, if that is all that went wrong; else None."""
+    """Return the first `OSError` if a group holds nothing else, or None."""
     if isinstance(err, OSError):
         return err
     if not isinstance(err, BaseExceptionGroup):
--- a/heatherkeel/helpers/logs.py
+++ b/heatherkeel/helpers/logs.py
@@ -1,4 +1,4 @@
-"""JSON-lines logs on standard error: one object a line, whatever is logged and by whom."""
+"""JSON Lines logging: one object per line, also for libraries, warnings and crashes."""
 
 from __future__ import annotations
 
@@ -15,20 +15,19 @@
 _LOGGER = logging.getLogger(__name__)
 
 DEFAULT_EVENT: Final = "log"
-"""Event name of a line whose author gave none, as libraries do."""
+"""Event name of a line without one, such as a line from a library."""
 
-QUIET_LOGGERS: Final = ("absl", "hypercorn", "httpcore")
-"""Libraries that log each step of theirs at INFO or DEBUG."""
+SUPPRESSED_LOGGERS: Final = ("absl", "hypercorn", "httpcore")
+"""Libraries whose INFO and DEBUG lines are suppressed."""
 
 OWN_FIELDS: Final = frozenset({"instance", "zone"})
 
 
 class LineFormatter(JsonFormatter):
-    """Writes one record as one JSON object, and never raises.
+    """Formats a record as one JSON object.
 
-    A value that can't be encoded (a broken `__str__`, a cycle, a wrong format argument) would
-    otherwise print a traceback between the lines, which no collector can read, and lose the
-    event. The line that comes instead names the event and what was wrong with it.
+    If a value can't be encoded (a broken `__str__`, a cycle, a wrong format argument), a line
+    with the event and the error is written instead of a traceback that collectors can't parse.
     """
 
     def __init__(self, *, instance: str, zone: str) -> None:
@@ -49,7 +48,7 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the record's line."""
-        # A line about another instance must not pass for a line of that instance.
+        # Keep fields about another instance apart from the fields of this one.
         for name in OWN_FIELDS & record.__dict__.keys():
             record.__dict__[f"about_{name}"] = record.__dict__.pop(name)
         try:
@@ -59,7 +58,7 @@
 
 
 def _describe_failure(record: logging.LogRecord, err: Exception) -> logging.LogRecord:
-    """Make a record of plain words about one that can't be encoded."""
+    """Return a record that describes one that can't be encoded."""
     described = logging.LogRecord(
         record.name, record.levelno, record.pathname, record.lineno, "line not encoded", (), None
     )
@@ -71,18 +70,18 @@
 
 
 class LineHandler(logging.StreamHandler):  # type: ignore[type-arg]
-    """Writes to standard error; a stream that is gone loses lines, never the process."""
+    """Writes log lines, and drops those that its stream can't take."""
 
     def handleError(self, record: logging.LogRecord) -> None:  # noqa: N802
-        """Drop the line: there is nowhere left to tell of it."""
+        """Drop the line, as the error can't be reported."""
 
 
 def set_up_logs(
     *, instance: str, zone: str, level: int = logging.INFO, descriptor: int | None = None
 ) -> None:
-    """Write every log line as JSON, with the process's instance and availability zone.
+    """Configure JSON logging with the process's instance and availability zone.
 
-    Lines go to standard error, or bounded and without waiting to another descriptor.
+    Lines go to standard error, or rate-limited and without blocking to `descriptor`.
     """
     if descriptor is None:
         handler = LineHandler(sys.stderr)
@@ -92,7 +91,7 @@
     handler.setFormatter(LineFormatter(instance=instance, zone=zone))
     logging.basicConfig(level=level, handlers=[handler], force=True)
     logging.captureWarnings(True)
-    for name in QUIET_LOGGERS:
+    for name in SUPPRESSED_LOGGERS:
         logging.getLogger(name).setLevel(logging.WARNING)
     sys.excepthook = log_crash
 
@@ -100,5 +99,5 @@
 def log_crash(
     kind: type[BaseException], err: BaseException, traceback: TracebackType | None
 ) -> None:
-    """Log what ends the process, in place of a traceback over many lines."""
+    """Log an uncaught exception as one line."""
     _LOGGER.critical("%s", err, exc_info=(kind, err, traceback), extra={"event": "crash"})
--- a/heatherkeel/helpers/server.py
+++ b/heatherkeel/helpers/server.py
@@ -1,4 +1,4 @@
-"""Starts and stops an HTTP server on a given port."""
+"""HTTP server that runs an ASGI application."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from .groups import find_system_error
 
 MAX_HEADER_BYTES: Final = 16 * 1024
-"""Largest path with headers; a longer one is answered with 431."""
+"""Maximum size of the request target and headers in bytes; a larger request gets 431."""
 
 KEEP_ALIVE_S: Final = 75.0
-"""How long an idle connection of a caller is kept, in seconds.
+"""Idle timeout of a caller's connection in seconds.
 
-Balancers keep theirs for a minute at most. If we closed first, a request could be on its way while
-the connection closes, and the balancer couldn't tell its caller whether it ran.
+It exceeds the idle timeout of load balancers (60 s), so that a connection isn't closed while a
+request is in transit.
 """
 
 
 class HttpServer:
-    """One hypercorn server in this process's loop."""
+    """A hypercorn server in the event loop of this process."""
 
     def __init__(
         self,
@@ -42,8 +42,7 @@
         self.config = Config()
         self.config.bind = [bind]
         self.config.accesslog = None
-        # Without a logger the library drops what an application raises, and the caller's 500
-        # has no trace anywhere.
+        # Without a logger hypercorn discards the exceptions of the application.
         self.config.errorlog = logging.getLogger("hypercorn.error")
         self.config.graceful_timeout = graceful_timeout_s
         self.config.include_server_header = False
@@ -52,14 +51,14 @@
         self.config.h11_max_incomplete_size = MAX_HEADER_BYTES
         self.config.certfile = certfile or None
         self.config.keyfile = keyfile or None
-        # One protocol, so that one set of limits holds with and without TLS.
+        # Use HTTP/1.1 only, so that the same limits apply with and without TLS.
         self.config.alpn_protocols = ["http/1.1"]
         self.config.keep_alive_timeout = KEEP_ALIVE_S
         self.stopping = trio.Event()
         self.stopped = trio.Event()
 
     async def start(self, nursery: trio.Nursery) -> str:
-        """Open the port and return its address as `host:port`; `OSError` names the address."""
+        """Start listening and return the address as `host:port`, or raise `OSError` with it."""
         try:
             urls = await nursery.start(self._async_serve)
         except (OSError, BaseExceptionGroup) as err:
@@ -84,9 +83,9 @@
             self.stopped.set()
 
     async def close(self, *, finish_timeout_s: float | None = None) -> None:
-        """Take no new connection, let requests in progress finish, then return.
+        """Stop accepting connections and wait for requests in progress.
 
-        What has not finished after `finish_timeout_s` seconds is cut off.
+        Requests that have not finished after `finish_timeout_s` seconds are cancelled.
         """
         if finish_timeout_s is not None:
             self.config.graceful_timeout = finish_timeout_s
@@ -95,14 +94,14 @@
 
 
 def limit_headers(app: App, on_refusal: Callable[[], None]) -> App:
-    """Refuse requests with too long headers, and tell of each.
+    """Reject requests with too large headers, and call `on_refusal` for each.
 
-    The library's own limit holds only for what it waits to complete: headers that come in one
-    read pass whatever their length, so the same request would be answered or not by its timing.
+    hypercorn checks its own limit only for incomplete headers, so it would accept or reject the
+    same request depending on timing.
     """
 
     async def async_limited(scope: Message, receive: Receive, send: Send) -> None:
-        size = _header_bytes(scope) if scope["type"] == "http" else 0
+        size = _header_size(scope) if scope["type"] == "http" else 0
         if size <= MAX_HEADER_BYTES:
             return await app(scope, receive, send)
         on_refusal()
@@ -118,6 +117,6 @@
     return async_limited
 
 
-def _header_bytes(scope: Message) -> int:
+def _header_size(scope: Message) -> int:
     fields = sum(len(name) + len(value) for name, value in scope["headers"])
     return fields + len(scope["raw_path"]) + len(scope["query_string"])
--- a/heatherkeel/helpers/signals.py
+++ b/heatherkeel/helpers/signals.py
@@ -1,4 +1,4 @@
-"""Hears that this process is told to stop."""
+"""Handles the signals that stop the process."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 class StopSignal:
-    """Remembers that the process was told to stop, from the first moment on."""
+    """Records whether a stop signal was received."""
 
     def __init__(self) -> None:
         self.received = trio.Event()
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to listen; returns when no signal can be missed any more."""
+        """Start listening; returns once the signal handlers are installed."""
         await nursery.start(self._async_run)
 
     async def _async_run(self, task_status: trio.TaskStatus[None]) -> None:
@@ -32,6 +32,6 @@
         self.received.set()
 
     async def async_cancel(self, scope: trio.CancelScope) -> None:
-        """Cancel a scope when the signal comes."""
+        """Cancel a scope when a stop signal is received."""
         await self.received.wait()
         scope.cancel()
--- a/heatherkeel/helpers/timers.py
+++ b/heatherkeel/helpers/timers.py
@@ -1,4 +1,4 @@
-"""The timer service: parts subscribe to it, and no part keeps a clock loop of its own."""
+"""Timer service that calls its subscribers periodically."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 def never_idle() -> bool:
-    """Say that there is always work."""
+    """Return False: the subscription is never idle."""
     return False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Subscription:
-    """Calls `callback` every `interval_ms`, the next time only when it has returned.
+    """A periodic call of `callback`, with `interval_ms` between the end of a call and the next.
 
-    While `is_idle`, it is called every `idle_interval_ms` only, or when somebody wakes it.
+    While `is_idle()`, the interval is `idle_interval_ms`, unless `wake` is called.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
 
 class TimerService:
-    """Runs subscriptions until their nursery ends."""
+    """Runs subscriptions until their nursery is cancelled."""
 
     def __init__(self) -> None:
         self.subscriptions: list[Subscription] = []
@@ -51,7 +51,7 @@
         idle_interval_ms: int = 0,
         is_idle: IsIdle = never_idle,
     ) -> None:
-        """Call `callback` at once after the start, and then every `interval_ms`."""
+        """Call `callback` when the service starts, and then every `interval_ms`."""
         subscription = Subscription(
             name=name,
             interval_ms=interval_ms,
@@ -64,12 +64,12 @@
             self.nursery.start_soon(self._async_run, subscription)
 
     def wake(self, name: str) -> None:
-        """Call a subscription now instead of at its next time."""
+        """Call a subscription immediately instead of at its next interval."""
         if name in self.wakers:
             self.wakers[name].set()
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Begin to run all subscriptions."""
+        """Start all subscriptions."""
         self.nursery = nursery
         for subscription in self.subscriptions:
             nursery.start_soon(self._async_run, subscription)
--- a/tests/helpers/test_bounded_logs.py
+++ b/tests/helpers/test_bounded_logs.py
@@ -1,4 +1,4 @@
-"""Logs never hold the process up, and say what they left out."""
+"""Tests of non-blocking, rate-limited log output."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 from heatherkeel.helpers.bounded_logs import (
     LINES_PER_SECOND,
-    MAX_WAITING_BYTES,
+    MAX_BUFFERED_BYTES,
     LineLimiter,
     NonBlockingStream,
 )
 
 
 def make_record(event: str) -> logging.LogRecord:
-    """Return a record of an event."""
+    """Return a log record for an event."""
     record = logging.LogRecord("name", logging.INFO, "", 0, "text", (), None)
     record.event = event
     return record
 
 
-def test_event_that_comes_too_often_is_counted_instead() -> None:
+def test_frequent_event_is_limited_and_counted() -> None:
     now_ms = 0
     limiter = LineLimiter(clock_ms=lambda: now_ms)
     passed = sum(limiter.filter(make_record("often")) for _ in range(LINES_PER_SECOND + 5))
@@ -35,12 +35,8 @@
     assert record.__dict__["left_out"] == 5
 
 
-def test_reader_that_stands_still_holds_nothing_up() -> None:
-    """The collector of a process's output hangs, and the pipe to it fills up.
-
-    A plain write would wait for it, and with it the one loop that serves callers and renews
-    leases. Lines are left out instead, and counted once the reader goes on.
-    """
+def test_stalled_reader_does_not_block_writes() -> None:
+    """A blocking write to a full pipe would stop the event loop; lines are dropped instead."""
     reader, writer = os.pipe()
     stream = NonBlockingStream(writer)
     line = "x" * 999 + "\n"
@@ -49,7 +45,7 @@
         stream.write(line)
         stream.flush()
     assert time.monotonic() - began < 5.0
-    assert stream.left_out > 0 and len(stream.waiting) <= MAX_WAITING_BYTES
+    assert stream.left_out > 0 and len(stream.buffer) <= MAX_BUFFERED_BYTES
     os.set_blocking(reader, False)
     read = b""
     for _ in range(100):
@@ -68,10 +64,10 @@
     assert lines[-1] == "last"
 
 
-def test_reader_that_is_gone_loses_lines_only() -> None:
+def test_closed_reader_only_drops_lines() -> None:
     reader, writer = os.pipe()
     stream = NonBlockingStream(writer)
     os.close(reader)
     stream.write("line\n")
     stream.flush()
-    assert stream.waiting == b""
+    assert stream.buffer == b""
--- a/tests/helpers/test_faults.py
+++ b/tests/helpers/test_faults.py
@@ -1,4 +1,4 @@
-"""The collector agrees with msgspec about what is sound, and finds every fault."""
+"""Tests of the collection of validation errors."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     assert all("\n" not in line for line in found)
 
 
-def test_every_fault_is_found_in_one_go() -> None:
+def test_all_faults_are_collected() -> None:
     value = {
         "inner": {"size": 0, "names": ["abc", 3, "d"], "sise": 1},
         "maybe": {"size": "1"},
@@ -74,7 +74,7 @@
     ]
 
 
-def test_a_union_is_walked_by_its_tag() -> None:
+def test_union_is_validated_by_its_tag() -> None:
     entry = {"kind": "pool", "owner": "sheetal", "size": -1, "budget": 1}
     assert lines(entry, CatalogueEntry) == [
         "size: expected int >= 0, got -1",
--- a/tests/helpers/test_logs.py
+++ b/tests/helpers/test_logs.py
@@ -1,4 +1,4 @@
-"""Every line on standard error is one JSON object with the fields that operators search by."""
+"""Tests of JSON Lines logging."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import pytest
 
 RFC_3339_UTC: Final = re.compile(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z\Z")
-SET_UP: Final = """
+SETUP_CODE: Final = """
 import logging, sys, warnings
 from heatherkeel.helpers.logs import set_up_logs
 set_up_logs(instance="e-a", zone="a")
@@ -21,8 +21,8 @@
 """
 
 
-def lines_of(code: str, *, status: int = 0) -> list[dict[str, Any]]:
-    argv = [sys.executable, "-c", SET_UP + textwrap.dedent(code)]
+def run_and_parse_log(code: str, *, status: int = 0) -> list[dict[str, Any]]:
+    argv = [sys.executable, "-c", SETUP_CODE + textwrap.dedent(code)]
     done = subprocess.run(argv, capture_output=True, text=True)
     assert done.returncode == status, done.stderr
     lines = [json.loads(line) for line in done.stderr.splitlines()]
@@ -32,8 +32,10 @@
     return lines
 
 
-def test_a_line_has_its_event_and_ids() -> None:
-    [line] = lines_of('log.warning("lost %s", 1, extra={"event": "lost", "request_id": "r-1"})')
+def test_line_has_event_and_ids() -> None:
+    [line] = run_and_parse_log(
+        'log.warning("lost %s", 1, extra={"event": "lost", "request_id": "r-1"})'
+    )
     assert line | {"time": ""} == {
         "time": "",
         "level": "WARNING",
@@ -46,10 +48,9 @@
     }
 
 
-def test_a_line_that_cannot_be_encoded_is_told_and_ends_nothing() -> None:
-    # A value whose __str__ raises reaches a log call. Its traceback would stand between the
-    # JSON lines, and the event would be lost just when something odd happens.
-    lines = lines_of("""
+def test_line_that_cannot_be_encoded_is_reported() -> None:
+    # A value that can't be encoded must not print a traceback or lose its event.
+    lines = run_and_parse_log("""
         class Odd:
             def __str__(self): raise RuntimeError("odd")
             __repr__ = __str__
@@ -72,9 +73,8 @@
     ]
 
 
-def test_other_writers_keep_to_the_shape() -> None:
-    # Libraries, warnings and a crash use other ways to standard error than our own calls.
-    lines = lines_of(
+def test_libraries_warnings_and_crashes_log_json() -> None:
+    lines = run_and_parse_log(
         """
         import httpcore, hypercorn.trio, trio
         from absl import logging as absl_logging
@@ -92,10 +92,10 @@
     assert "ValueError: b" in lines[6]["exc_info"]
 
 
-def test_a_closed_standard_error_ends_nothing() -> None:
-    lines_of('sys.stderr.close()\nlog.error("nobody hears")\nsys.exit(0)')
+def test_closed_standard_error_does_not_stop_the_process() -> None:
+    run_and_parse_log('sys.stderr.close()\nlog.error("nobody hears")\nsys.exit(0)')
 
 
 @pytest.mark.parametrize("name", ["hypercorn", "httpcore", "absl"])
-def test_quiet_loggers_have_no_handlers_of_their_own(name: str) -> None:
+def test_suppressed_loggers_have_no_handlers(name: str) -> None:
     assert logging.getLogger(name).handlers == []
--- a/tests/helpers/test_server.py
+++ b/tests/helpers/test_server.py
@@ -1,4 +1,4 @@
-"""Connections of callers between two requests."""
+"""Tests of the HTTP server's idle connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from heatherkeel.helpers.server import HttpServer
 
 LIBRARY_KEEP_ALIVE_S: Final = 5.0
-"""After so long the library's own default closes an idle connection."""
+"""Default idle timeout of hypercorn in seconds."""
 
 
 async def async_answer(scope: Message, receive: Receive, send: Send) -> None:
@@ -20,8 +20,8 @@
     return await async_respond(send, status=200)
 
 
-async def async_ask_twice() -> list[int]:
-    """Ask twice on one connection, idle for a little longer than the library's default between."""
+async def async_request_twice() -> list[int]:
+    """Send two requests on one connection, which is idle for longer than hypercorn's default."""
     server = HttpServer(app=async_answer, bind="127.0.0.1:0")
     async with trio.open_nursery() as nursery:
         await server.start(nursery)
@@ -37,8 +37,6 @@
     return statuses
 
 
-def test_an_idle_connection_outlives_the_balancers_patience() -> None:
-    # The balancer keeps idle connections for longer than we do and sends the next request on one
-    # that we are closing. The caller then hears nothing, and nobody knows whether it ran. So we
-    # must be the ones who wait longer.
-    assert trio.run(async_ask_twice) == [200, 200]
+def test_idle_connection_outlives_library_default() -> None:
+    # A load balancer must not send a request on a connection that the server is closing.
+    assert trio.run(async_request_twice) == [200, 200]
--- a/tests/helpers/test_timers.py
+++ b/tests/helpers/test_timers.py
@@ -1,4 +1,4 @@
-"""The timer service: an idle subscription rests, and is called at once when it is woken."""
+"""Tests of the timer service."""
 
 from __future__ import annotations
 
@@ -8,13 +8,12 @@
 from heatherkeel.helpers.timers import TimerService
 
 
-def test_an_idle_subscription_rests_until_it_is_woken() -> None:
-    # Nothing drains, so nobody looks for drains 20 times a second. Then one starts: it must be
-    # looked at now, and at the short interval until it is over.
+def test_idle_subscription_is_called_when_woken() -> None:
+    # Waking an idle subscription calls it immediately, and then at the short interval.
     calls: list[float] = []
     idle = [True]
 
-    async def note() -> None:
+    async def record_call() -> None:
         calls.append(round(trio.current_time(), 3))
 
     async def async_main() -> None:
@@ -22,7 +21,7 @@
         timers.subscribe(
             name="drains",
             interval_ms=50,
-            callback=note,
+            callback=record_call,
             idle_interval_ms=500,
             is_idle=lambda: idle[0],
         )
