--- a/heatherkeel/monitoring/__init__.py
+++ b/heatherkeel/monitoring/__init__.py
@@ -1,1 +1,1 @@
-"""What one process tells of itself: metrics, health and readiness."""
+"""Metrics, health and readiness of a process."""
--- a/heatherkeel/monitoring/app.py
+++ b/heatherkeel/monitoring/app.py
@@ -1,4 +1,4 @@
-"""The ASGI applications of monitoring: the pages on the admin port, and the callers' clock."""
+"""ASGI applications that serve the monitoring paths and measure request durations."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class ReadinessAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of `/readyz`."""
+    """The response body of `/readyz`."""
 
     ready: bool
     reasons: list[NotReadyReason]
 
 
 class MonitoringApp:
-    """Answers the monitoring paths, and leaves every other one to the application inside."""
+    """Serves the monitoring paths and forwards other requests to the inner application."""
 
     def __init__(self, *, inner: App, metrics: Metrics, readiness: Readiness) -> None:
         self.inner = inner
@@ -71,7 +71,7 @@
 
 
 class TimedApp:
-    """Measures how long each request takes by its outcome, and counts those in progress."""
+    """Measures request durations by outcome, and counts the requests in progress."""
 
     def __init__(self, *, inner: App, metrics: Metrics) -> None:
         self.inner = inner
@@ -102,6 +102,6 @@
 
 
 def find_outcome(headers: list[tuple[bytes, bytes]]) -> Outcome | None:
-    """Return the outcome that an answer's head tells its caller, if it does."""
+    """Return the outcome in a response's headers, or None if it is missing or unknown."""
     values = [value for name, value in headers if name == _OUTCOME_NAME]
     return _OUTCOMES.get(values[-1]) if values else None
--- a/heatherkeel/monitoring/const.py
+++ b/heatherkeel/monitoring/const.py
@@ -1,4 +1,4 @@
-"""Constants of monitoring."""
+"""Constants for monitoring."""
 
 from __future__ import annotations
 
@@ -14,4 +14,4 @@
     *(0.1, 0.2, 0.3, 0.5, 0.75),
     *(1.0, 2.0, 3.8, 5.0, 10.0, 30.0, 60.0),
 )
-"""Upper bounds in seconds: an entry hop takes a few milliseconds, urgent work has 3.8 s."""
+"""Histogram bucket bounds in seconds; 3.8 is the time limit of urgent work."""
--- a/heatherkeel/monitoring/counting.py
+++ b/heatherkeel/monitoring/counting.py
@@ -1,4 +1,4 @@
-"""Counts effects; the registry says which counter an effect belongs to."""
+"""Registry that maps effects to metrics."""
 
 from __future__ import annotations
 
@@ -20,72 +20,74 @@
 from .metrics import Metrics
 
 EffectT = TypeVar("EffectT", bound=Effect)
-CountEffect = Callable[[Metrics, EffectT], None]
-COUNTED: Final[dict[type[Effect], CountEffect[Any]]] = {}
+EffectCounter = Callable[[Metrics, EffectT], None]
+EFFECT_COUNTERS: Final[dict[type[Effect], EffectCounter[Any]]] = {}
 
 
-def counts(kind: type[EffectT]) -> Callable[[CountEffect[EffectT]], CountEffect[EffectT]]:
-    """Register how an effect is counted."""
+def counts_effect(
+    kind: type[EffectT],
+) -> Callable[[EffectCounter[EffectT]], EffectCounter[EffectT]]:
+    """Register the function that counts effects of a type."""
 
-    def register(count: CountEffect[EffectT]) -> CountEffect[EffectT]:
-        if kind in COUNTED:
+    def register(count: EffectCounter[EffectT]) -> EffectCounter[EffectT]:
+        if kind in EFFECT_COUNTERS:
             raise RegistrationError(f"{kind.__name__} is counted twice")
-        COUNTED[kind] = count
+        EFFECT_COUNTERS[kind] = count
         return count
 
     return register
 
 
 def count_effects(node: Node, metrics: Metrics) -> None:
-    """Count the effects of a node from now on."""
-    for kind, count in COUNTED.items():
+    """Subscribe the counters to the effects of a node."""
+    for kind, count in EFFECT_COUNTERS.items():
         node.subscribe(kind, partial(count, metrics))
 
 
-@counts(Refuse)
+@counts_effect(Refuse)
 def count_refusal(metrics: Metrics, effect: Refuse) -> None:
-    """Count a final answer that no target gave."""
+    """Count a final response that did not come from a target."""
     metrics.count_refusal(effect.reason)
 
 
-@counts(AbortAnswer)
+@counts_effect(AbortAnswer)
 def count_abort(metrics: Metrics, effect: AbortAnswer) -> None:
-    """Count an answer that broke off: its caller got no whole answer either."""
+    """Count a response that was aborted before its end."""
     metrics.count_refusal(effect.reason)
 
 
-@counts(Retried)
+@counts_effect(Retried)
 def count_retry(metrics: Metrics, effect: Retried) -> None:
-    """Count an attempt after a failed one."""
+    """Count a retry."""
     metrics.retries.labels(effect.reason.value).inc()
 
 
-@counts(NotRetried)
+@counts_effect(NotRetried)
 def count_no_retry(metrics: Metrics, effect: NotRetried) -> None:
-    """Count a failed attempt that was the last."""
+    """Count a failed attempt that was not retried."""
     metrics.not_retried.labels(effect.reason.value).inc()
 
 
-@counts(TargetEjected)
+@counts_effect(TargetEjected)
 def count_ejection(metrics: Metrics, effect: TargetEjected) -> None:
     """Count an ejected target."""
     metrics.ejections.inc()
 
 
-@counts(Settled)
+@counts_effect(Settled)
 def count_settled(metrics: Metrics, effect: Settled) -> None:
-    """Count a record that the fold refused."""
+    """Count a record that the fold rejected."""
     if isinstance(effect.outcome, Rejected):
         metrics.rejected_records.labels(effect.outcome.reason.value).inc()
 
 
-@counts(Skipped)
+@counts_effect(Skipped)
 def count_skipped(metrics: Metrics, effect: Skipped) -> None:
-    """Count a record that nobody can read."""
+    """Count a record that can't be decoded."""
     metrics.skipped_records.labels(effect.reason.value).inc()
 
 
-@counts(Duplicate)
+@counts_effect(Duplicate)
 def count_duplicate(metrics: Metrics, effect: Duplicate) -> None:
-    """Count a second copy of a record."""
+    """Count a duplicate record."""
     metrics.duplicate_records.inc()
--- a/heatherkeel/monitoring/gauges.py
+++ b/heatherkeel/monitoring/gauges.py
@@ -1,4 +1,4 @@
-"""What is read from an entry process's state when it is scraped."""
+"""Metrics that are read from an entry process's state at scrape time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class TargetState(StrEnum):
-    """What a target is good for, as this entry instance sees it."""
+    """The state of a target as seen by this entry instance."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -34,16 +34,16 @@
 
 
 def count_live_peers(peers: PeersState, *, now_ms: int) -> int:
-    """Count the linked peers whose heartbeats arrive; `now_ms` is the monotonic clock."""
+    """Count the linked peers whose heartbeats arrive; `now_ms` is the monotonic time."""
     return sum(
         1 for peer in peers.peers.values() if now_ms - peer.last_heartbeat_ms <= MAX_ACK_TIMEOUT_MS
     )
 
 
 def count_leases(fleet: FleetState) -> int:
-    """Count the entry instances whose routing lease holds at the fold's time.
+    """Count the entry instances whose routing lease is valid at the fold's time.
 
-    Without the log that time stands still, so this goes on to count instances that are lost.
+    Without the log that time doesn't advance, so lost instances are still counted.
     """
     return sum(
         1 for entry in fleet.membership.entries.values() if entry.lease_until_ms >= fleet.now_ms
@@ -51,7 +51,7 @@
 
 
 def count_targets(state: NodeState, *, now_ms: int) -> dict[TargetState, int]:
-    """Count targets by state; `now_ms` is this process's monotonic clock."""
+    """Count targets by state; `now_ms` is the local monotonic time."""
     found = Counter(
         _target_state(state, name, instance, now_ms)
         for name, instance in state.fleet.pools.instances.items()
@@ -73,7 +73,7 @@
 
 
 class NodeGauges(Collector):
-    """What the process holds at this moment."""
+    """Collects the gauges and peer counters of an entry process."""
 
     def __init__(self, *, node: Node, readiness: Readiness, in_progress: Callable[[], int]) -> None:
         self.node = node
@@ -81,7 +81,7 @@
         self.in_progress = in_progress
 
     def collect(self) -> Iterator[Metric]:
-        """Give every gauge."""
+        """Return the current metrics."""
         fleet = self.node.state.fleet
         peers = self.node.state.local.peers
         yield _gauge("offset_in_force", "Offset of the last record folded.", fleet.next_offset - 1)
--- a/heatherkeel/monitoring/readiness.py
+++ b/heatherkeel/monitoring/readiness.py
@@ -1,4 +1,4 @@
-"""Says whether the platform's balancer should send callers here."""
+"""Readiness of an entry instance for the load balancer."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
     STOPPING = "stopping"
     STARTING = "starting"
-    """No state that it may serve by is in force yet, or its port is not open."""
+    """No usable state is in force yet, or the port is not open."""
     NO_CATALOGUE_ENTRY = "no_catalogue_entry"
     NO_SPONSOR = "no_sponsor"
-    """It started from a peer's state, and no drain would wait for it now (`can_route`)."""
+    """It started from a peer's state, and drains don't wait for it (`can_route`)."""
 
 
 class Readiness:
@@ -29,19 +29,18 @@
         self.stopping = False
 
     def start(self) -> None:
-        """Be ready from now on, as soon as a catalogue entry is in force."""
+        """Allow readiness once a catalogue entry is in force."""
         self.started = True
 
     def stop(self) -> None:
-        """Be ready no more, for good."""
+        """Mark the process as permanently not ready."""
         self.stopping = True
 
     def find_reasons(self) -> list[NotReadyReason]:
-        """Return why this process is not ready; empty if it is.
+        """Return the reasons why this process is not ready; empty if it is ready.
 
-        The platform being away is no reason: what was in force stays in force, and an entry
-        instance that is cut off goes on serving. Otherwise an outage of the log would take
-        every entry instance out of the balancer at once.
+        An unreachable platform is not a reason: an outage of the log must not remove every
+        entry instance from the load balancer at once.
         """
         reasons: list[NotReadyReason] = []
         if self.stopping:
--- a/tests/monitoring/test_metrics.py
+++ b/tests/monitoring/test_metrics.py
@@ -1,4 +1,4 @@
-"""Every reason shows before it happens, and effects reach the counters."""
+"""Tests of metrics and readiness."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from heatherkeel.membership.local import PeerView
 from heatherkeel.membership.models import EntryInstance
 from heatherkeel.monitoring.app import find_outcome
-from heatherkeel.monitoring.counting import COUNTED
+from heatherkeel.monitoring.counting import EFFECT_COUNTERS
 from heatherkeel.monitoring.gauges import (
     NodeGauges,
     TargetState,
@@ -63,7 +63,7 @@
         ("heatherkeel_request_duration_seconds_count", Outcome),
     ],
 )
-def test_every_reason_shows_before_it_happens(name: str, reasons: type[StrEnum]) -> None:
+def test_every_label_starts_at_zero(name: str, reasons: type[StrEnum]) -> None:
     shown = samples(Metrics())
     assert {shown[name, reason.value] for reason in reasons} == {0.0}
 
@@ -79,7 +79,7 @@
         Settled(record_id="y", kind="k", author="a", offset=2, outcome=Accepted(version=1)),
     ]
     for effect in effects:
-        COUNTED[type(effect)](metrics, effect)
+        EFFECT_COUNTERS[type(effect)](metrics, effect)
     shown = {key: value for key, value in samples(metrics).items() if value == 1.0}
     assert shown.keys() >= {
         ("heatherkeel_refusals_total", "queue_full"),
@@ -93,7 +93,7 @@
     return Instance(zone="a", rack="r", address="1.1.1.1:1", boot_id="1", pool="p", status=status)
 
 
-def test_targets_are_counted_by_what_they_are_good_for() -> None:
+def test_targets_are_counted_by_state() -> None:
     state = node().state
     views = {
         "leaving": TargetView(address="", zone="a", pool="p", leaving=True),
@@ -115,7 +115,7 @@
     assert {kind.value for kind in TargetState} >= {status.value for status in InstanceStatus}
 
 
-def test_an_entry_instance_whose_lease_lapsed_is_not_counted() -> None:
+def test_entry_instance_with_expired_lease_is_not_counted() -> None:
     fleet = node().state.fleet
     fleet.now_ms = 10
     for name, until_ms in (("e-a", 20), ("e-b", 10), ("e-c", 9)):
@@ -130,9 +130,8 @@
     assert count_leases(fleet) == 2
 
 
-def test_a_silent_peer_is_not_live() -> None:
-    # With the platform away the fold's time stands still and every lease seems to hold; only the
-    # heartbeats show that a peer is lost.
+def test_unresponsive_peer_is_not_live() -> None:
+    # Without the platform leases don't expire, so lost peers are detected by their heartbeats.
     peers = node().state.local.peers
     for name, last_heartbeat_ms in (("e-b", 10_000), ("e-c", 9_999)):
         peers.peers[name] = PeerView(
@@ -159,9 +158,8 @@
     assert found["heatherkeel_targets", "serving"] == 0
 
 
-def test_a_process_is_ready_only_with_a_configuration_and_without_a_stop() -> None:
-    # The balancer sends callers to whatever is ready. A process that has not read the log would
-    # answer 404 for services that are in force, and one that stops would cut them off.
+def test_process_is_ready_only_with_configuration_and_no_stop() -> None:
+    # A process that has not read the log would answer 404, and one that stops would drop requests.
     starting = node()
     readiness = Readiness(node=starting)
     assert readiness.find_reasons() == [NotReadyReason.STARTING]
@@ -171,7 +169,7 @@
     assert readiness.find_reasons()[0] is NotReadyReason.STOPPING
 
 
-def test_an_unknown_outcome_header_is_no_outcome() -> None:
+def test_unknown_outcome_header_is_ignored() -> None:
     assert find_outcome([(b"heatherkeel-outcome", b"ran")]) is Outcome.RAN
     assert find_outcome([(b"heatherkeel-outcome", b"odd")]) is None
     assert find_outcome([]) is None
