--- a/heatherkeel/catalogue/__init__.py
+++ b/heatherkeel/catalogue/__init__.py
@@ -1,1 +1,1 @@
-"""What operators edit: entries with an owner, a class and limits, under rising versions."""
+"""The catalogue: versioned entries that operators edit, each with an owner and limits."""
--- a/heatherkeel/catalogue/checks.py
+++ b/heatherkeel/catalogue/checks.py
@@ -1,4 +1,4 @@
-"""Checkers of the catalogue's promises, shared by tests, replay and measurement."""
+"""Invariant checks for the catalogue, shared by tests, replay and measurement."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @checks("catalogue_versions")
 def check_versions(state: FleetState) -> Iterator[Violation]:
-    """Find entries that have no owner, or not the newest version that their name ever had."""
+    """Find entries without an owner, or whose version isn't the newest recorded for their name."""
     for name, stored in state.catalogue.entries.items():
         newest = state.catalogue.versions.get(name, 0)
         if stored.version != newest or not stored.entry.owner:
@@ -27,7 +27,7 @@
 
 @checks("catalogue_rules")
 def check_rules(state: FleetState) -> Iterator[Violation]:
-    """Find entries that an accepted edit of another one made break a rule."""
+    """Find entries that break a rule because an edit of another entry was accepted."""
     for name, stored in state.catalogue.entries.items():
         for fault in find_faults(state, name, stored.entry):
             yield Violation(
@@ -39,7 +39,7 @@
 def check_never_reverts(
     before: FleetState, effects: list[Effect], after: FleetState
 ) -> Iterator[Violation]:
-    """Find versions that fell, and entries that changed without a new version."""
+    """Find versions that decreased, and entries that changed without a new version."""
     for name, version in before.catalogue.versions.items():
         newest = after.catalogue.versions.get(name, 0)
         unchanged = before.catalogue.entries.get(name) == after.catalogue.entries.get(name)
--- a/heatherkeel/catalogue/models.py
+++ b/heatherkeel/catalogue/models.py
@@ -1,4 +1,4 @@
-"""Border models of catalogue entries and records, and the subject's folded state."""
+"""Models of catalogue entries and records, and the folded state of the catalogue."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ServiceClass(StrEnum):
-    """How soon an entry's work has to be done; urgent work goes first."""
+    """Priority class of an entry's work."""
 
     URGENT = "urgent"
     INTERACTIVE = "interactive"
@@ -29,11 +29,11 @@
 
 
 CLASS_ORDER: Final = (ServiceClass.URGENT, ServiceClass.INTERACTIVE, ServiceClass.BATCH)
-"""Classes in the order in which requests and jobs are served."""
+"""Service classes, highest priority first."""
 
 
 class Reserve(StrEnum):
-    """The largest single loss that a budget must survive on top of every planned stop."""
+    """The largest single failure that a budget must tolerate on top of all planned stops."""
 
     NONE = "none"
     RACK = "rack"
@@ -41,14 +41,14 @@
 
 
 class Budget(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The availability budget: instances that must go on serving, whatever is planned."""
+    """The availability budget: the minimum number of instances that must keep serving."""
 
     min_serving: Count
     reserve: Reserve = Reserve.RACK
 
 
 class RequestLimits(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Limits on the requests of one service; times in milliseconds."""
+    """Request limits of one service; times in milliseconds."""
 
     slots_per_worker: PositiveCount = 8
     connections_per_worker: PositiveCount = 64
@@ -60,7 +60,7 @@
 class EntryBase(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, tag_field="kind"
 ):
-    """What every entry has: who may change it, and how soon its work has to be done."""
+    """Fields common to all entries: the owning team and the priority class."""
 
     owner: Name
     service_class: ServiceClass = ServiceClass.INTERACTIVE
@@ -76,13 +76,13 @@
 
 
 class PoolEntry(EntryBase, frozen=True, kw_only=True, tag="pool"):
-    """A pool that asks for `size` instances; the fold assigns admitted instances to pools."""
+    """A pool that requests `size` instances; the fold assigns admitted instances to pools."""
 
     size: Count
 
 
 class TeamEntry(EntryBase, frozen=True, kw_only=True, tag="team"):
-    """A team and its quota over all pools; memory in MiB."""
+    """A team and its quota across all pools; memory in MiB."""
 
     cpu_quota: Count = 0
     memory_quota_mib: MemoryMib = 0
@@ -90,12 +90,12 @@
 
 
 class MaintenanceEntry(EntryBase, frozen=True, kw_only=True, tag="maintenance"):
-    """How one pool is maintained: every instance once in `period_h`, outside counter hours.
+    """Maintenance policy of one pool: each instance is maintained once every `period_h` hours.
 
-    `closed_from_minute` to `closed_to_minute` are minutes of the UTC day in which no planned
-    stop starts; equal values close no time. `max_failed_returns` halts a wave. Raising
-    `wave_request` asks for a wave now, before the period is over. The weights say which
-    measure the owner wants low.
+    No planned stop starts between `closed_from_minute` and `closed_to_minute` (minutes of the
+    UTC day); equal values disable this. A wave halts at `max_failed_returns` failures. Raising
+    `wave_request` requests a wave before the period is over. The weights state how much the
+    owner wants each measure minimized.
     """
 
     pool: Name
@@ -115,7 +115,7 @@
 
 
 class EntryPut(RecordBody, frozen=True, kw_only=True):
-    """Create or replace an entry; `expected_version` 0 means that it must not exist."""
+    """Create or replace an entry; `expected_version` 0 requires that it doesn't exist."""
 
     name: Name
     expected_version: Count
@@ -124,7 +124,7 @@
 
 
 class EntryDelete(RecordBody, frozen=True, kw_only=True):
-    """Remove the entry at exactly `expected_version`."""
+    """Remove an entry if its version is `expected_version`."""
 
     name: Name
     expected_version: PositiveCount
@@ -133,7 +133,7 @@
 
 @dataclass(kw_only=True)
 class StoredEntry:
-    """An entry in force, with the version and offset of the edit that made it so."""
+    """A current entry, with the version and offset of its last edit."""
 
     entry: CatalogueEntry
     version: int
@@ -142,7 +142,7 @@
 
 @dataclass(kw_only=True)
 class CatalogueState:
-    """Entries by name; `versions` outlives a deletion, so that a version never comes twice."""
+    """Entries by name; `versions` is kept after a deletion, so that no version is reused."""
 
     entries: dict[str, StoredEntry] = field(default_factory=dict)
     versions: dict[str, int] = field(default_factory=dict)
@@ -151,7 +151,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CatalogueChanged(Effect):
-    """An edit came into force; `deleted` says whether the entry is gone."""
+    """An edit was accepted; `deleted` is true if it removed the entry."""
 
     name: str
     version: int
--- a/heatherkeel/catalogue/reducer.py
+++ b/heatherkeel/catalogue/reducer.py
@@ -1,4 +1,4 @@
-"""Decides edits of the catalogue: the first valid edit of a version wins, at every reader."""
+"""Reducers for catalogue edits: the first valid edit of a version wins for every reader."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @handles("catalogue.put", EntryPut, remembered=True)
 def put_entry(state: FleetState, meta: RecordMeta, body: EntryPut) -> Result[Accepted, Rejected]:
-    """Create or replace an entry if its author saw the version in force."""
+    """Create or replace an entry if the expected version is the current one."""
     refusal = _check_edit(state, name=body.name, expected=body.expected_version, team=body.team)
     if refusal is not None:
         return Err(refusal)
@@ -41,7 +41,7 @@
 def delete_entry(
     state: FleetState, meta: RecordMeta, body: EntryDelete
 ) -> Result[Accepted, Rejected]:
-    """Remove an entry if its author saw the version in force."""
+    """Remove an entry if the expected version is the current one."""
     refusal = _check_edit(state, name=body.name, expected=body.expected_version, team=body.team)
     if refusal is not None:
         return Err(refusal)
@@ -54,10 +54,9 @@
 
 
 def _check_edit(state: FleetState, *, name: str, expected: int, team: str) -> Rejected | None:
-    """Refuse a stale edit, or one by a team that doesn't own the entry.
+    """Reject a stale edit, or one by a team that doesn't own the entry.
 
-    Two operators can race on one entry. Without the version, the slower one would undo the
-    other's edit without having seen it.
+    The version check prevents lost updates when two operators edit one entry concurrently.
     """
     stored = state.catalogue.entries.get(name)
     in_force = 0 if stored is None else stored.version
--- a/heatherkeel/catalogue/rules.py
+++ b/heatherkeel/catalogue/rules.py
@@ -1,6 +1,6 @@
-"""Rules between an entry and the others in force; the fold asks them, so no writer gets by.
+"""Validation rules across catalogue entries; the fold applies them to every edit.
 
-The reasons for each rule, and what was left out, are in `docs/design/catalogue.md`.
+See `docs/design/catalogue.md` for the reasons behind each rule.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EntryFault:
-    """A rule that an edit breaks; `field` is the path of the value at fault."""
+    """A rule violation by an edit; `field` is the path of the invalid value."""
 
     field: str
     reason: RejectReason
@@ -36,7 +36,7 @@
 
 
 def rule_for(entry_type: type[EntryT]) -> Callable[[Rule[EntryT]], Rule[EntryT]]:
-    """Register a rule of one kind of entry; it is given the state, the name and the new entry."""
+    """Register a rule for one entry type; it receives the state, the name and the new entry."""
 
     def register(rule: Rule[EntryT]) -> Rule[EntryT]:
         rules = RULES.setdefault(entry_type, [])
@@ -49,7 +49,7 @@
 
 
 def find_faults(state: FleetState, name: str, entry: CatalogueEntry) -> list[EntryFault]:
-    """Return every rule that the entry would break if it came into force now."""
+    """Return the faults of every rule that the entry would break in the current state."""
     faults = list(_check_kind(state, name, entry))
     for rule in RULES.get(type(entry), ()):
         faults += rule(state, name, entry)
@@ -57,10 +57,9 @@
 
 
 def find_uses(state: FleetState, name: str) -> list[EntryFault]:
-    """Return why the entry can't be deleted now.
+    """Return the faults that prevent the deletion of an entry.
 
-    Without its pool a service has no size to hold its budget against, and its requests would
-    find no target, though nobody edited the service.
+    A pool in use can't be deleted: its services would lose their targets.
     """
     users = _names_using_pool(state, name)
     if not users:
@@ -70,7 +69,7 @@
 
 
 def refuse(faults: list[EntryFault]) -> Rejected | None:
-    """Return a refusal that names every fault, one on a line, or None without faults."""
+    """Return a rejection that lists every fault, one per line, or None without faults."""
     if not faults:
         return None
     detail = "\n".join(str(fault) for fault in faults)
@@ -78,12 +77,12 @@
 
 
 def comparable_prefix(path_prefix: str) -> str:
-    """Return the prefix as the rules compare it: `/stock` and `/stock/` are one."""
+    """Normalize a prefix for comparison: `/stock` and `/stock/` are the same."""
     return path_prefix.rstrip("/")
 
 
 def _check_kind(state: FleetState, name: str, entry: CatalogueEntry) -> Iterator[EntryFault]:
-    """Keep the kind: others may refer to a pool by this name."""
+    """Reject a change of kind, since other entries may refer to a pool by this name."""
     stored = state.catalogue.entries.get(name)
     if stored is not None and type(stored.entry) is not type(entry):
         detail = "an entry keeps its kind; delete it and create another"
@@ -97,7 +96,7 @@
 
 @rule_for(ServiceEntry)
 def check_service_pool(state: FleetState, name: str, entry: ServiceEntry) -> Iterator[EntryFault]:
-    """Require a pool that is in force and large enough for the budget."""
+    """Require that the pool exists and is large enough for the budget."""
     pool = _find_pool(state, entry.pool)
     if pool is None:
         yield _missing_pool(entry.pool)
@@ -111,7 +110,7 @@
 
 @rule_for(ServiceEntry)
 def check_path_prefix(state: FleetState, name: str, entry: ServiceEntry) -> Iterator[EntryFault]:
-    """Keep prefixes apart: two services under one would take each other's requests."""
+    """Reject a duplicate prefix: the services would receive each other's requests."""
     prefix = comparable_prefix(entry.path_prefix)
     for other_name, stored in sorted(state.catalogue.entries.items()):
         other = stored.entry
@@ -127,7 +126,7 @@
 
 @rule_for(PoolEntry)
 def check_pool_size(state: FleetState, name: str, entry: PoolEntry) -> Iterator[EntryFault]:
-    """Keep a pool as large as the budgets that it has to hold."""
+    """Require a pool at least as large as the budget of each of its services."""
     short = [
         service_name
         for service_name, stored in sorted(state.catalogue.entries.items())
@@ -147,7 +146,7 @@
 def check_maintenance_pool(
     state: FleetState, name: str, entry: MaintenanceEntry
 ) -> Iterator[EntryFault]:
-    """Allow one maintenance entry for a pool: two would start waves against each other."""
+    """Allow one maintenance entry per pool, to prevent conflicting waves."""
     if _find_pool(state, entry.pool) is None:
         yield _missing_pool(entry.pool)
     for other_name, stored in sorted(state.catalogue.entries.items()):
@@ -177,7 +176,7 @@
 
 
 def _list_names(names: list[str]) -> str:
-    """Name a few and count the rest, so that an outcome in the state stays small."""
+    """List the first names and count the rest, to limit the size of the stored outcome."""
     shown = ", ".join(names[:MAX_NAMES_IN_FAULT])
     more = len(names) - MAX_NAMES_IN_FAULT
     return f"{shown} and {more} more" if more > 0 else shown
--- a/tests/catalogue/folding.py
+++ b/tests/catalogue/folding.py
@@ -1,4 +1,4 @@
-"""Folds catalogue edits in memory."""
+"""Helpers that fold catalogue edits in memory."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def say(state: FleetState, body: RecordBody) -> Accepted | Rejected:
-    """Fold one record, check every promise, and return the outcome."""
+    """Fold one record, check all invariants, and return the outcome."""
     data = encode(seal(body, author="test", now_ms=state.now_ms))
     effects = fold(state, LogRecord(offset=state.next_offset, at_ms=state.now_ms, data=data))
     assert find_violations(state) == []
@@ -25,19 +25,19 @@
 def put(
     state: FleetState, name: str, entry: CatalogueEntry, *, team: str = TEAM
 ) -> Accepted | Rejected:
-    """Create or change an entry at the version in force."""
+    """Create or replace an entry at its current version."""
     stored = state.catalogue.entries.get(name)
     expected = stored.version if stored else 0
     return say(state, EntryPut(name=name, expected_version=expected, team=team, entry=entry))
 
 
 def delete(state: FleetState, name: str, *, team: str = TEAM) -> Accepted | Rejected:
-    """Delete an entry at the version in force."""
+    """Delete an entry at its current version."""
     version = state.catalogue.entries[name].version
     return say(state, EntryDelete(name=name, expected_version=version, team=team))
 
 
 def refusal(outcome: Accepted | Rejected) -> tuple[str, list[str]]:
-    """Return the reason and the lines of a refusal."""
+    """Return the reason and the detail lines of a rejection."""
     assert isinstance(outcome, Rejected), outcome
     return outcome.reason.value, outcome.detail.splitlines()
--- a/tests/catalogue/test_machine.py
+++ b/tests/catalogue/test_machine.py
@@ -1,4 +1,4 @@
-"""Two teams edit from what they once saw, records come twice, and every promise holds."""
+"""Invariants hold when two teams make stale edits and records are delivered twice."""
 
 from __future__ import annotations
 
--- a/tests/catalogue/test_rules.py
+++ b/tests/catalogue/test_rules.py
@@ -1,4 +1,4 @@
-"""The fold refuses an edit that breaks a rule between entries, whoever wrote it."""
+"""The fold rejects edits that break a rule between entries."""
 
 from __future__ import annotations
 
@@ -54,8 +54,7 @@
 
 
 def test_a_pool_holds_the_budgets_of_its_services() -> None:
-    # Someone shrinks a pool below what a service promised to its callers. Without the rule the
-    # budget could never hold again, and nobody had edited the service.
+    # Guards against shrinking a pool below the budget of a service that uses it.
     state = started()
     expected = ("invalid", ["entry.size: 1 is less than budget.min_serving of stock"])
     assert refusal(put(state, "desk", pool(1))) == expected
