--- a/heatherkeel/catalogue/reducer.py
+++ b/heatherkeel/catalogue/reducer.py
@@ -11,7 +11,7 @@
 
 from .const import MAX_ENTRY_BYTES
 from .models import CatalogueChanged, EntryDelete, EntryPut, StoredEntry
-from .rules import find_faults, find_uses, refuse
+from .rules import find_deletion_faults, find_faults, reject_faults
 
 _ENCODER = msgspec.json.Encoder()
 
@@ -19,17 +19,17 @@
 @handles("catalogue.put", EntryPut, remembered=True)
 def put_entry(state: FleetState, meta: RecordMeta, body: EntryPut) -> Result[Accepted, Rejected]:
     """Create or replace an entry if the expected version is the current one."""
-    refusal = _check_edit(state, name=body.name, expected=body.expected_version, team=body.team)
-    if refusal is not None:
-        return Err(refusal)
+    rejection = _check_edit(state, name=body.name, expected=body.expected_version, team=body.team)
+    if rejection is not None:
+        return Err(rejection)
     if len(_ENCODER.encode(body.entry)) > MAX_ENTRY_BYTES:
         return Err(Rejected(reason=RejectReason.MALFORMED, detail="entry is too large"))
     if body.expected_version == 0 and body.entry.owner != body.team:
         detail = f"entry.owner: a new entry belongs to its author's team {body.team}"
         return Err(Rejected(reason=RejectReason.NOT_OWNER, detail=detail))
-    refusal = refuse(find_faults(state, body.name, body.entry))
-    if refusal is not None:
-        return Err(refusal)
+    rejection = reject_faults(find_faults(state, body.name, body.entry))
+    if rejection is not None:
+        return Err(rejection)
     version = _next_version(state, body.name)
     state.catalogue.entries[body.name] = StoredEntry(
         entry=body.entry, version=version, offset=meta.offset
@@ -42,12 +42,12 @@
     state: FleetState, meta: RecordMeta, body: EntryDelete
 ) -> Result[Accepted, Rejected]:
     """Remove an entry if the expected version is the current one."""
-    refusal = _check_edit(state, name=body.name, expected=body.expected_version, team=body.team)
-    if refusal is not None:
-        return Err(refusal)
-    refusal = refuse(find_uses(state, body.name))
-    if refusal is not None:
-        return Err(refusal)
+    rejection = _check_edit(state, name=body.name, expected=body.expected_version, team=body.team)
+    if rejection is not None:
+        return Err(rejection)
+    rejection = reject_faults(find_deletion_faults(state, body.name))
+    if rejection is not None:
+        return Err(rejection)
     version = _next_version(state, body.name)
     del state.catalogue.entries[body.name]
     return Ok(_accept(state, meta, name=body.name, version=version, deleted=True))
--- a/heatherkeel/catalogue/rules.py
+++ b/heatherkeel/catalogue/rules.py
@@ -50,13 +50,13 @@
 
 def find_faults(state: FleetState, name: str, entry: CatalogueEntry) -> list[EntryFault]:
     """Return the faults of every rule that the entry would break in the current state."""
-    faults = list(_check_kind(state, name, entry))
+    faults = list(_check_kind_unchanged(state, name, entry))
     for rule in RULES.get(type(entry), ()):
         faults += rule(state, name, entry)
     return faults
 
 
-def find_uses(state: FleetState, name: str) -> list[EntryFault]:
+def find_deletion_faults(state: FleetState, name: str) -> list[EntryFault]:
     """Return the faults that prevent the deletion of an entry.
 
     A pool in use can't be deleted: its services would lose their targets.
@@ -68,7 +68,7 @@
     return [EntryFault(field="name", reason=RejectReason.IN_USE, detail=detail)]
 
 
-def refuse(faults: list[EntryFault]) -> Rejected | None:
+def reject_faults(faults: list[EntryFault]) -> Rejected | None:
     """Return a rejection that lists every fault, one per line, or None without faults."""
     if not faults:
         return None
@@ -81,7 +81,9 @@
     return path_prefix.rstrip("/")
 
 
-def _check_kind(state: FleetState, name: str, entry: CatalogueEntry) -> Iterator[EntryFault]:
+def _check_kind_unchanged(
+    state: FleetState, name: str, entry: CatalogueEntry
+) -> Iterator[EntryFault]:
     """Reject a change of kind, since other entries may refer to a pool by this name."""
     stored = state.catalogue.entries.get(name)
     if stored is not None and type(stored.entry) is not type(entry):
@@ -127,18 +129,18 @@
 @rule_for(PoolEntry)
 def check_pool_size(state: FleetState, name: str, entry: PoolEntry) -> Iterator[EntryFault]:
     """Require a pool at least as large as the budget of each of its services."""
-    short = [
+    unsatisfied = [
         service_name
         for service_name, stored in sorted(state.catalogue.entries.items())
         if isinstance(stored.entry, ServiceEntry)
         and stored.entry.pool == name
         and stored.entry.budget.min_serving > entry.size
     ]
-    if short:
+    if unsatisfied:
         yield EntryFault(
             field="entry.size",
             reason=RejectReason.INVALID,
-            detail=f"{entry.size} is less than budget.min_serving of {_list_names(short)}",
+            detail=f"{entry.size} is less than budget.min_serving of {_list_names(unsatisfied)}",
         )
 
 
--- a/tests/catalogue/folding.py
+++ b/tests/catalogue/folding.py
@@ -13,7 +13,7 @@
 TEAM = "sheetal"
 
 
-def say(state: FleetState, body: RecordBody) -> Accepted | Rejected:
+def fold_record(state: FleetState, body: RecordBody) -> Accepted | Rejected:
     """Fold one record, check all invariants, and return the outcome."""
     data = encode(seal(body, author="test", now_ms=state.now_ms))
     effects = fold(state, LogRecord(offset=state.next_offset, at_ms=state.now_ms, data=data))
@@ -28,16 +28,18 @@
     """Create or replace an entry at its current version."""
     stored = state.catalogue.entries.get(name)
     expected = stored.version if stored else 0
-    return say(state, EntryPut(name=name, expected_version=expected, team=team, entry=entry))
+    return fold_record(
+        state, EntryPut(name=name, expected_version=expected, team=team, entry=entry)
+    )
 
 
 def delete(state: FleetState, name: str, *, team: str = TEAM) -> Accepted | Rejected:
     """Delete an entry at its current version."""
     version = state.catalogue.entries[name].version
-    return say(state, EntryDelete(name=name, expected_version=version, team=team))
+    return fold_record(state, EntryDelete(name=name, expected_version=version, team=team))
 
 
-def refusal(outcome: Accepted | Rejected) -> tuple[str, list[str]]:
+def rejection(outcome: Accepted | Rejected) -> tuple[str, list[str]]:
     """Return the reason and the detail lines of a rejection."""
     assert isinstance(outcome, Rejected), outcome
     return outcome.reason.value, outcome.detail.splitlines()
