--- a/heatherkeel/settings/__init__.py
+++ b/heatherkeel/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of the processes: TOML, validated before a port is opened."""
+"""Process settings: read from TOML and validated before any port is opened."""
--- a/heatherkeel/settings/const.py
+++ b/heatherkeel/settings/const.py
@@ -7,7 +7,7 @@
 from heatherkeel.catalogue.const import END_OF_TEXT
 
 MAX_SETTINGS_BYTES: Final = 256 * 1024
-"""Largest settings file that is read: several times what 560 teams need."""
+"""Maximum size of a settings file, in bytes."""
 
 _OCTET: Final = r"(?:25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])"
 _NONZERO_PORT: Final = (
@@ -19,4 +19,4 @@
 ADDRESS_PATTERN: Final = rf"^{_IP}:{_NONZERO_PORT}{END_OF_TEXT}"
 
 MIN_RENEWALS_PER_LEASE: Final = 2
-"""One lost renewal must not cost an entry instance its routing lease."""
+"""Ensures that one lost renewal doesn't expire the routing lease of an entry instance."""
--- a/heatherkeel/settings/errors.py
+++ b/heatherkeel/settings/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a settings file."""
+"""Errors found in a settings file."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettingsFaults:
-    """Every fault of one file, in the order in which they were found; never empty."""
+    """All faults of one file, in the order in which they were found; never empty."""
 
     file: str
     faults: list[Fault]
--- a/heatherkeel/settings/loader.py
+++ b/heatherkeel/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads a settings file, and gives either the settings or every fault in it."""
+"""Reads a settings file, and returns either the settings or all faults in it."""
 
 from __future__ import annotations
 
@@ -17,11 +17,13 @@
 from .models import EntrySettings
 from .rules import run_rules
 
-_AT_PLACE: Final = re.compile(r" \(at (?:line (?P<line>\d+), column \d+|end of document)\)\Z")
+_POSITION_SUFFIX: Final = re.compile(
+    r" \(at (?:line (?P<line>\d+), column \d+|end of document)\)\Z"
+)
 
 
 def load_settings(file: str) -> Result[EntrySettings, SettingsFaults]:
-    """Read and check the settings of an entry process; opens nothing but the file."""
+    """Read and validate the settings of an entry process."""
     match _read(file).and_then(parse_settings):
         case Ok(settings):
             return Ok(settings)
@@ -30,7 +32,7 @@
 
 
 def parse_settings(text: str) -> Result[EntrySettings, list[Fault]]:
-    """Check the text of a settings file."""
+    """Parse and validate the text of a settings file."""
     match _parse_toml(text):
         case Ok(document):
             faults = collect_faults(document, EntrySettings) + run_rules(document, EntrySettings)
@@ -61,12 +63,12 @@
     except RecursionError:
         return Err(Fault(path=(), reason="nested too deeply"))
     except ValueError as err:
-        # tomllib gives plain ValueError for numbers that Python refuses to read.
+        # tomllib raises a plain ValueError for numbers that Python can't convert.
         return Err(_syntax_fault(str(err), text))
 
 
 def _syntax_fault(message: str, text: str) -> Fault:
-    found = _AT_PLACE.search(message)
+    found = _POSITION_SUFFIX.search(message)
     if found is None:
         return Fault(path=(), reason=f"not TOML: {message.splitlines()[0]}")
     reason = f"not TOML: {message[: found.start()]}"
--- a/heatherkeel/settings/models.py
+++ b/heatherkeel/settings/models.py
@@ -1,4 +1,4 @@
-"""Border models of the settings; units are in the key names."""
+"""Models of the settings file; units are in the key names."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class InstanceSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Who this process is; `zones` lists every availability zone, its own among them."""
+    """Identity of this process; `zones` lists all availability zones, including its own."""
 
     id: ShortName
     zone: ShortName
@@ -48,37 +48,37 @@
 
 
 class ListenSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Where a port is opened; port 0 lets the system choose."""
+    """Bind address of a server; port 0 lets the system choose a port."""
 
     bind: BindAddress = "127.0.0.1:0"
 
 
 class AdminSettings(ListenSettings, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The administration port; with both files it speaks TLS.
+    """The administration port; it uses TLS if both files are set.
 
-    Tokens go over this port, so an address that other machines reach needs TLS, or
-    `allow_plain` where something in front of it does that.
+    Tokens are sent over this port, so a bind address other than loopback requires TLS, or
+    `allow_plain` if a proxy in front of it terminates TLS.
     """
 
     certfile: FilePath = ""
     keyfile: FilePath = ""
     allow_plain: bool = False
     write_timeout_ms: Milliseconds = 10_000
-    """How long an edit waits for the log before its outcome is called unknown."""
+    """How long an edit waits for the log before its outcome is reported as unknown."""
 
 
 class PeersSettings(ListenSettings, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The port for peers, and whom to ask for a state while the platform is down.
+    """The port for peers, and the peers to fetch a state from while the platform is down.
 
-    `seeds` are peer addresses of entry instances in the own availability zone; while the
-    platform answers, all peers are known from the log.
+    `seeds` are peer addresses of entry instances in the same availability zone; while the
+    platform is available, all peers are known from the log.
     """
 
     seeds: Annotated[list[HostPort], Meta(max_length=64)] = []
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How the platform's services are reached."""
+    """Connection to the platform's services."""
 
     address: HostPort
     stream: ShortName = "fleet"
@@ -89,17 +89,17 @@
 
 
 class RoutingSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Routing lease of an entry instance, and how often it is renewed."""
+    """Routing lease of an entry instance and its renewal interval."""
 
     lease_ms: Milliseconds = 15_000
     renew_interval_ms: Milliseconds = 4_000
 
 
 class SnapshotSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """When the state is written back into the log, in records and in log time.
+    """When a snapshot of the state is written to the log, in records and in log time.
 
-    The interval must be a small part of the platform's retention. An author that has not
-    finished after `overtake_ms` is taken for dead.
+    The interval must be much shorter than the platform's retention. An author that hasn't
+    finished after `overtake_ms` is presumed dead.
     """
 
     interval_records: Annotated[int, Meta(ge=1, le=10_000_000)] = 20_000
@@ -109,16 +109,16 @@
 
 
 class StopSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A planned stop: how long callers are still taken after `/readyz` says 503.
+    """A planned stop: how long requests are still accepted after `/readyz` returns 503.
 
-    It has to be longer than the balancer's probe interval, or a caller meets a closed port.
+    It must be longer than the load balancer's probe interval, or connections are refused.
     """
 
     readiness_wait_ms: Annotated[int, Meta(ge=0, le=600_000)] = 2_000
 
 
 class TeamSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The token with which a team's operators sign their edits."""
+    """The token that authenticates the edits of a team's operators."""
 
     token: Annotated[str, Meta(min_length=8, max_length=256, extra=dict(SECRET))]
 
--- a/heatherkeel/settings/rules.py
+++ b/heatherkeel/settings/rules.py
@@ -1,4 +1,4 @@
-"""Rules that concern several keys, in a registry that the loader runs."""
+"""Validation rules across several keys, in a registry that the loader runs."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Rule:
-    """A check of the values at `reads`; it runs when none of these has a fault of its own."""
+    """A check of the values at the paths `reads`; it runs only if all of them are valid."""
 
     reads: tuple[Path, ...]
     check: Check
@@ -39,7 +39,7 @@
 
 
 def rule(*reads: str) -> Callable[[CheckT], CheckT]:
-    """Register a rule that is called with the values at these key paths."""
+    """Register a rule that receives the values at these key paths."""
 
     def register(check: CheckT) -> CheckT:
         paths = tuple(tuple(read.split(".")) for read in reads)
@@ -50,18 +50,18 @@
 
 
 def run_rules(document: dict[str, Any], model: Any) -> list[Fault]:
-    """Return what the rules find; a rule that reads a faulty value is passed over."""
+    """Return the faults that the rules find; a rule that reads an invalid value is skipped."""
     found: list[Fault] = []
     for item in RULES:
         values = [_value_at(document, model, read) for read in item.reads]
-        sound = [value.ok_value for value in values if isinstance(value, Ok)]
-        if len(sound) == len(values):
-            found += item.check(*sound)
+        valid = [value.ok_value for value in values if isinstance(value, Ok)]
+        if len(valid) == len(values):
+            found += item.check(*valid)
     return found
 
 
 def _value_at(raw: Any, hint: Any, path: Path) -> Result[Any, str]:
-    """Decode the value at a path, or give the model's default where the file says nothing."""
+    """Decode the value at a path, or return the model's default if the key is absent."""
     if not path:
         return _decode(raw, hint)
     model = pick_member(raw, split_hint(hint)[0])
@@ -86,10 +86,10 @@
 
 
 def _decode(raw: Any, hint: Any) -> Result[Any, str]:
-    """Decode a value; of a map only the items that are sound, so that the others are checked."""
-    bare, _ = split_hint(hint)
-    if get_origin(bare) is dict and isinstance(raw, dict):
-        item_hint = get_args(bare)[1]
+    """Decode a value; invalid items of a map are left out, so that the others are checked."""
+    bare_hint, _ = split_hint(hint)
+    if get_origin(bare_hint) is dict and isinstance(raw, dict):
+        item_hint = get_args(bare_hint)[1]
         items = {key: _decode(item, item_hint) for key, item in raw.items()}
         return Ok({key: item.ok_value for key, item in items.items() if isinstance(item, Ok)})
     try:
@@ -100,7 +100,7 @@
 
 @rule("instance.zone", "instance.zones")
 def check_zone_is_listed(zone: str, zones: list[str]) -> Iterator[Fault]:
-    """Find an own availability zone that is none of all."""
+    """Find an instance zone that isn't listed in `zones`."""
     if zone not in zones:
         listed = ", ".join(zones)
         yield Fault(
@@ -110,15 +110,15 @@
 
 @rule("instance.zones")
 def check_zones_differ(zones: list[str]) -> Iterator[Fault]:
-    """Find availability zones that stand twice."""
+    """Find availability zones that are listed twice."""
     for index, zone in enumerate(zones):
         if zone in zones[:index]:
-            yield Fault(path=("instance", "zones", index), reason=f"{zone!r} stands twice")
+            yield Fault(path=("instance", "zones", index), reason=f"{zone!r} is listed twice")
 
 
 @rule("routing.lease_ms", "routing.renew_interval_ms")
 def check_lease_outlives_renewals(lease_ms: int, renew_interval_ms: int) -> Iterator[Fault]:
-    """Find a lease that one lost renewal would end."""
+    """Find a lease that would expire after one lost renewal."""
     if renew_interval_ms * MIN_RENEWALS_PER_LEASE > lease_ms:
         yield Fault(
             path=("routing", "renew_interval_ms"),
@@ -128,7 +128,7 @@
 
 @rule("teams")
 def check_tokens_differ(teams: dict[str, TeamSettings]) -> Iterator[Fault]:
-    """Find a token of two teams: the first would own what the second edits."""
+    """Find a token shared by two teams: edits by the second would be attributed to the first."""
     first_with: dict[str, str] = {}
     for name, team in teams.items():
         other = first_with.setdefault(team.token, name)
@@ -138,7 +138,7 @@
 
 @rule("http.bind", "admin.bind", "peers.bind")
 def check_ports_differ(http: str, admin: str, peers: str) -> Iterator[Fault]:
-    """Find a port of two servers; port 0 is another one each time."""
+    """Find an address used by two servers; port 0 selects a different port each time."""
     first_with: dict[str, str] = {}
     for section, bind in (("http", http), ("admin", admin), ("peers", peers)):
         other = first_with.setdefault(bind, section)
@@ -148,7 +148,7 @@
 
 @rule("admin.bind", "admin.certfile", "admin.allow_plain")
 def check_tokens_stay_secret(bind: str, certfile: str, allow_plain: bool) -> Iterator[Fault]:
-    """Find an administration port that would show tokens to the network."""
+    """Find an administration port that would send tokens over the network in plain text."""
     if not (certfile or allow_plain or is_loopback(bind)):
         yield Fault(
             path=("admin", "bind"),
@@ -172,7 +172,7 @@
 
 
 def _find_certificate_fault(certfile: str, keyfile: str) -> str:
-    # Only needed with TLS, and large.
+    # Imported here because it is large and only needed with TLS.
     import ssl
 
     try:
--- a/tests/settings/test_admin_rules.py
+++ b/tests/settings/test_admin_rules.py
@@ -1,4 +1,4 @@
-"""The administration port shows no token to the network unless its operator says so."""
+"""The administration port sends no plain-text tokens unless the operator allows it."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 PUBLIC = SOUND + '[admin]\nbind = "0.0.0.0:8443"\n'
 
 
-def test_a_port_for_other_machines_needs_tls_or_a_word() -> None:
+def test_a_public_port_requires_tls_or_allow_plain() -> None:
     [fault] = faults_of(PUBLIC)
     assert fault.startswith("admin.bind: 0.0.0.0:8443 is reached by other machines without TLS")
     assert isinstance(parse_settings(PUBLIC + "allow_plain = true\n"), Ok)
     assert isinstance(parse_settings(PUBLIC + FILES), Ok)
 
 
-def test_a_certificate_needs_its_key() -> None:
-    lone = SOUND + f'[admin]\ncertfile = "{CERTIFICATES}/test.crt"\n'
-    assert faults_of(lone) == ["admin.keyfile: missing; certfile and keyfile go together"]
+def test_a_certificate_requires_its_key() -> None:
+    without_key = SOUND + f'[admin]\ncertfile = "{CERTIFICATES}/test.crt"\n'
+    assert faults_of(without_key) == ["admin.keyfile: missing; certfile and keyfile go together"]
 
 
-def test_files_that_tls_cannot_use_are_found_before_the_start() -> None:
+def test_invalid_certificate_files_are_reported() -> None:
     for wrong in ("/nowhere/test.key", f"{CERTIFICATES}/test.crt"):
         [fault] = faults_of(
             SOUND + f'[admin]\ncertfile = "{CERTIFICATES}/test.crt"\nkeyfile = "{wrong}"\n'
--- a/tests/settings/test_loader.py
+++ b/tests/settings/test_loader.py
@@ -1,4 +1,4 @@
-"""A settings file gives either settings or every fault, whatever stands in it."""
+"""Loading a settings file returns either the settings or all faults, for any content."""
 
 from __future__ import annotations
 
@@ -27,13 +27,12 @@
     return [str(fault) for fault in parsed.err_value] if isinstance(parsed, Err) else []
 
 
-def test_sound_settings_have_no_fault() -> None:
+def test_valid_settings_have_no_fault() -> None:
     assert isinstance(parse_settings(SOUND), Ok)
 
 
-def test_single_and_cross_field_faults_come_together() -> None:
-    # One wrong key must not hide the rules over others: an operator who mends the first line
-    # and starts again at night would meet the next one only then.
+def test_single_and_cross_field_faults_are_reported_together() -> None:
+    # Guards against one invalid key hiding the faults that rules find in other keys.
     text = SOUND.replace('zone = "a"', 'zone = "d"').replace(":8080", ":0") + """
         poll_wait_ms = true
         [routing]
@@ -64,7 +63,7 @@
     ]
 
 
-def test_ports_in_use_twice_are_told() -> None:
+def test_duplicate_ports_are_reported() -> None:
     text = SOUND + '[admin]\nbind = "127.0.0.1:81"\n[peers]\nbind = "127.0.0.1:81"\n'
     assert faults_of(text) == ["peers.bind: 127.0.0.1:81 is already used by admin.bind"]
 
@@ -77,19 +76,19 @@
         ("a = " + "[" * 5000, "(file): nested too deeply"),
     ],
 )
-def test_a_syntax_fault_names_its_line(text: str, line: str) -> None:
+def test_a_syntax_fault_includes_its_line(text: str, line: str) -> None:
     assert faults_of(text) == [line]
 
 
 @pytest.mark.parametrize(
     "bind", ["1.2.3.4:80\\n", "1.2.3.4", "01.2.3.4:80", "1.2.3.4:65536", "::1"]
 )
-def test_what_is_no_address_is_refused(bind: str) -> None:
+def test_invalid_addresses_are_rejected(bind: str) -> None:
     [line] = faults_of(f'{SOUND}[http]\nbind = "{bind}"')
     assert line.startswith("http.bind: expected an IP number and a port")
 
 
-def test_missing_sections_are_told_by_name() -> None:
+def test_missing_sections_are_reported_by_name() -> None:
     assert faults_of("[instance]\nid = 'e'") == [
         "instance.zone: missing",
         "instance.zones: missing",
@@ -102,8 +101,8 @@
     binary.write_bytes(b"a = 1\n\xff")
     large = tmp_path / "large.toml"
     large.write_bytes(b"#" * 2_000_000)
-    told = [load_settings(str(path)).unwrap_err().lines() for path in (tmp_path, binary, large)]
-    assert told == [
+    reported = [load_settings(str(path)).unwrap_err().lines() for path in (tmp_path, binary, large)]
+    assert reported == [
         [f"{tmp_path}: (file): cannot be read: Is a directory"],
         [f"{binary}: line 2: not UTF-8 text"],
         [f"{large}: (file): longer than 262144 bytes"],
