--- a/heatherkeel/catalogue/reducer.py
+++ b/heatherkeel/catalogue/reducer.py
@@ -1,4 +1,4 @@
-"""Decides edits of the catalogue: the first valid edit of a version wins, at every reader."""
+"""Reducers for catalogue edits: the first valid edit of a version wins for every reader."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 from .const import MAX_ENTRY_BYTES
 from .models import CatalogueChanged, EntryDelete, EntryPut, StoredEntry
-from .rules import find_faults, find_uses, refuse
+from .rules import find_deletion_faults, find_faults, reject_faults
 
 _ENCODER = msgspec.json.Encoder()
 
 
 @handles("catalogue.put", EntryPut, remembered=True)
 def put_entry(state: FleetState, meta: RecordMeta, body: EntryPut) -> Result[Accepted, Rejected]:
-    """Create or replace an entry if its author saw the version in force."""
-    refusal = _check_edit(state, name=body.name, expected=body.expected_version, team=body.team)
-    if refusal is not None:
-        return Err(refusal)
+    """Create or replace an entry if the expected version is the current one."""
+    rejection = _check_edit(state, name=body.name, expected=body.expected_version, team=body.team)
+    if rejection is not None:
+        return Err(rejection)
     if len(_ENCODER.encode(body.entry)) > MAX_ENTRY_BYTES:
         return Err(Rejected(reason=RejectReason.MALFORMED, detail="entry is too large"))
     if body.expected_version == 0 and body.entry.owner != body.team:
         detail = f"entry.owner: a new entry belongs to its author's team {body.team}"
         return Err(Rejected(reason=RejectReason.NOT_OWNER, detail=detail))
-    refusal = refuse(find_faults(state, body.name, body.entry))
-    if refusal is not None:
-        return Err(refusal)
+    rejection = reject_faults(find_faults(state, body.name, body.entry))
+    if rejection is not None:
+        return Err(rejection)
     version = _next_version(state, body.name)
     state.catalogue.entries[body.name] = StoredEntry(
         entry=body.entry, version=version, offset=meta.offset
@@ -41,23 +41,22 @@
 def delete_entry(
     state: FleetState, meta: RecordMeta, body: EntryDelete
 ) -> Result[Accepted, Rejected]:
-    """Remove an entry if its author saw the version in force."""
-    refusal = _check_edit(state, name=body.name, expected=body.expected_version, team=body.team)
-    if refusal is not None:
-        return Err(refusal)
-    refusal = refuse(find_uses(state, body.name))
-    if refusal is not None:
-        return Err(refusal)
+    """Remove an entry if the expected version is the current one."""
+    rejection = _check_edit(state, name=body.name, expected=body.expected_version, team=body.team)
+    if rejection is not None:
+        return Err(rejection)
+    rejection = reject_faults(find_deletion_faults(state, body.name))
+    if rejection is not None:
+        return Err(rejection)
     version = _next_version(state, body.name)
     del state.catalogue.entries[body.name]
     return Ok(_accept(state, meta, name=body.name, version=version, deleted=True))
 
 
 def _check_edit(state: FleetState, *, name: str, expected: int, team: str) -> Rejected | None:
-    """Refuse a stale edit, or one by a team that doesn't own the entry.
+    """Reject a stale edit, or one by a team that doesn't own the entry.
 
-    Two operators can race on one entry. Without the version, the slower one would undo the
-    other's edit without having seen it.
+    The version check prevents lost updates when two operators edit one entry concurrently.
     """
     stored = state.catalogue.entries.get(name)
     in_force = 0 if stored is None else stored.version
