--- a/heatherkeel/instance/__init__.py
+++ b/heatherkeel/instance/__init__.py
@@ -1,1 +1,1 @@
-"""One process on the users' platform: it takes callers, and owns what the platform deals it."""
+"""An instance process: it serves callers and owns the partitions assigned to it."""
--- a/heatherkeel/instance/process.py
+++ b/heatherkeel/instance/process.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a process together, and runs them until it is told to stop."""
+"""Creates the components of an instance process and runs them until it is stopped."""
 
 from __future__ import annotations
 
@@ -46,15 +46,15 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-LINGER_S: Final = 2.5
-"""How long callers are still served after the stop signal, in seconds: the platform's balancer
-needs two missed looks, a second apart, to send new connections elsewhere."""
-FINISH_S: Final = 1.5
-"""What requests in progress then get, in seconds."""
+BALANCER_DELAY_S: Final = 2.5
+"""How long callers are still served after the stop signal, in seconds. The platform's load balancer
+stops sending new connections after two failed readiness probes, one second apart."""
+FINISH_TIMEOUT_S: Final = 1.5
+"""Time that requests in progress then have to finish, in seconds."""
 
 
 class InstanceProcess:
-    """The servers, the partitions and the links of one process."""
+    """Holds the servers, the owned partitions and the peer links of one process."""
 
     def __init__(self, *, settings: InstanceSettings) -> None:
         self.settings = settings
@@ -71,8 +71,8 @@
         self.directory = Directory(store=self.store)
         self.holders = HolderCache(store=self.store)
         self.owners: dict[int, PartitionOwner] = {}
-        self.unused: dict[int, int] = {}
-        """Partitions that were gained and that no service has, with their tokens."""
+        self.unused_partitions: dict[int, int] = {}
+        """Tokens of gained partitions that no service uses yet, by partition."""
         self.fleet_owner: FleetOwner | None = None
         self.links = QuestionLinks(
             bind=f"{settings.ip}:{settings.internal_ports[0]}",
@@ -94,7 +94,7 @@
             address=self.links.address,
             incarnation=uuid.uuid4().hex[:12],
             capacity=settings.limits.cpu_capacity(),
-            on_change=self._async_change,
+            on_change=self._async_handle_change,
         )
         self.reserve = ReserveWatch(
             member=self.member,
@@ -103,13 +103,13 @@
             partitions=partitions,
         )
         self.isolation = IsolationWatch(
-            member=self.member, holders=self.holders, async_reach=self._async_reach
+            member=self.member, holders=self.holders, async_reach=self._async_is_reachable
         )
         self.lookup = Lookup(store=self.store, holders=self.holders, links=self.links)
         self.status = StatusApp(
             directory=self.directory.state,
             metrics=self.metrics,
-            store_heard_ms=self._store_heard_ms,
+            store_answered_ms=self._store_answered_ms,
         )
         self.callers = HttpServer(
             app=JobApiApp(
@@ -127,13 +127,13 @@
         self.nursery: trio.Nursery | None = None
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Open the ports, and begin to follow the store and to own partitions."""
+        """Open the ports and start following the store and owning partitions."""
         self.nursery = nursery
         self.links.start(nursery)
         self.member.address = self.links.address
         await self.probes.start(nursery)
         await self.callers.start(nursery)
-        self.directory.subscribe(self._own_used)
+        self.directory.subscribe(self._own_used_partitions)
         self.directory.start(nursery)
         nursery.start_soon(self.layouts.async_run)
         nursery.start_soon(self.reserve.async_run)
@@ -151,23 +151,23 @@
         )
 
     async def close(self) -> None:
-        """Hand partitions over, let the balancer notice, and finish what is in progress."""
+        """Hand over the partitions, wait for the load balancer, and finish requests in progress."""
         _LOGGER.info("stopping", extra={"event": "stop", "partitions": sorted(self.owners)})
         self.status.is_stopping = True
         await self.member.close()
-        await trio.sleep(LINGER_S)
-        await self.callers.close(finish_timeout_s=FINISH_S)
+        await trio.sleep(BALANCER_DELAY_S)
+        await self.callers.close(finish_timeout_s=FINISH_TIMEOUT_S)
         await self.probes.close(finish_timeout_s=0.1)
         self.links.close()
         await self.store.close()
 
-    def _store_heard_ms(self) -> int:
-        """Return when the store last answered anything that is asked all the time."""
-        followed = self.directory.operator.read_ms
-        return max(self.member.answered_ms, self.holders.answered_ms, followed)
+    def _store_answered_ms(self) -> int:
+        """Return the monotonic time of the store's last answer to a periodic read, in ms."""
+        operator_read_ms = self.directory.operator.read_ms
+        return max(self.member.answered_ms, self.holders.answered_ms, operator_read_ms)
 
     async def _async_ask_layout(self) -> Layout | None:
-        """Ask owners, one after the other, how services are laid out."""
+        """Ask the partition owners one by one for the layout of the services."""
         await self.holders.async_refresh()
         for address in sorted(set(self.holders.addresses.values())):
             answer = await self.links.async_ask(address, LayoutQuestion(partition=-1))
@@ -180,16 +180,16 @@
     ) -> Answer | None:
         return await self.links.async_ask(address, asked, timeout_s=timeout_s)
 
-    async def _async_reach(self, address: str) -> bool:
-        """Say whether the process at an address answers; what it answers doesn't matter."""
+    async def _async_is_reachable(self, address: str) -> bool:
+        """Return whether the process at an address answers; the answer itself is ignored."""
         question = QueueQuestion(partition=-1, queue="")
         return await self.links.async_ask(address, question) is not None
 
-    async def _async_change(self, change: OwnershipChange) -> None:
-        """Close what was lost before anything else, and begin with what was gained."""
+    async def _async_handle_change(self, change: OwnershipChange) -> None:
+        """Close the lost partitions first, then start to own the gained ones."""
         fleet = fleet_partition(self.settings.store.partitions)
         for partition in change.lost:
-            self.unused.pop(partition, None)
+            self.unused_partitions.pop(partition, None)
             owner = self.owners.pop(partition, None)
             if owner is not None:
                 owner.close()
@@ -200,20 +200,19 @@
             return
         for partition, token in change.gained.items():
             if partition == fleet:
-                self._keep_fleet(token)
+                self._own_fleet(token)
             else:
-                self.unused[partition] = token
-        self._own_used()
+                self.unused_partitions[partition] = token
+        self._own_used_partitions()
 
-    def _own_used(self) -> None:
-        """Begin with the partitions that services have, also when one is laid out later.
+    def _own_used_partitions(self) -> None:
+        """Start to own the gained partitions that the layout uses; called again when it changes.
 
-        Where a store has more partitions than services have shares, most processes would follow
-        the entries of all workers, the largest part of what there is to read, for a partition in
-        which nothing can be.
+        An unused partition holds no jobs, so its owner would read the entries of all workers in
+        vain.
         """
         for partition in self.directory.state.layout.all_partitions():
-            token = self.unused.pop(partition, None)
+            token = self.unused_partitions.pop(partition, None)
             if token is not None:
                 self._own(partition, token)
 
@@ -233,7 +232,7 @@
         self.owners[partition] = owner
         self.nursery.start_soon(owner.async_run)
 
-    def _keep_fleet(self, token: int) -> None:
+    def _own_fleet(self, token: int) -> None:
         assert self.nursery is not None
         self.directory.follow_workers()
         self.fleet_owner = FleetOwner(
@@ -250,11 +249,11 @@
 
 
 async def async_run_instance(settings: InstanceSettings) -> None:
-    """Run one process until it is told to stop."""
+    """Run one process until it receives a stop signal."""
     stop = StopSignal()
     async with trio.open_nursery() as nursery:
         await stop.start(nursery)
-        nursery.start_soon(_async_hear_reloads)
+        nursery.start_soon(_async_handle_reloads)
         process = InstanceProcess(settings=settings)
         await process.start(nursery)
         await stop.received.wait()
@@ -263,11 +262,11 @@
     _LOGGER.info("stopped", extra={"event": "stopped"})
 
 
-async def _async_hear_reloads() -> None:
-    """Take SIGHUP, which ends a process that doesn't listen to it.
+async def _async_handle_reloads() -> None:
+    """Log SIGHUP, which would otherwise end the process.
 
-    What the settings name are addresses and bounds that hold for the life of a process; what may
-    change while it runs comes from the store.
+    Settings are read only at the start; configuration that can change at runtime comes from the
+    store.
     """
     with trio.open_signal_receiver(signal.SIGHUP) as signals:
         async for _ in signals:
--- a/heatherkeel/instance/status.py
+++ b/heatherkeel/instance/status.py
@@ -1,4 +1,4 @@
-"""The application that the platform and operators look at: readiness and metrics."""
+"""ASGI application for the readiness probe and the metrics endpoint."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 from heatherkeel.monitoring.const import METRICS_PATH
 from heatherkeel.platform.const import READINESS_PATH
 
-STORE_SILENT_MS: Final = 1200
-"""Without an answer of the store for this long a process takes no new callers, in milliseconds. A
-member renews every 450 ms, so two in a row have failed; others read on each 800 ms."""
+STORE_ANSWER_MAX_AGE_MS: Final = 1200
+"""Age of the store's last answer at which a process stops being ready, in milliseconds. Two
+consecutive renewals of a member, 450 ms apart, have then failed."""
 
 
 class StatusApp:
-    """Says whether this process takes callers, and shows its counters."""
+    """Serves the readiness and the metrics of this process."""
 
     def __init__(
         self,
         *,
         directory: DirectoryState,
         metrics: GatewayMetrics,
-        store_heard_ms: Callable[[], int],
+        store_answered_ms: Callable[[], int],
     ) -> None:
         self.directory = directory
         self.metrics = metrics
-        self.store_heard_ms = store_heard_ms
+        self.store_answered_ms = store_answered_ms
         self.is_stopping = False
 
     async def __call__(self, scope: Message, receive: Receive, send: Send) -> None:
@@ -60,15 +60,15 @@
         return await async_respond_json(send, {"ready": is_ready}, status=200 if is_ready else 503)
 
     def is_ready(self) -> bool:
-        """Say whether this process should get new callers.
+        """Return whether this process should receive new callers.
 
-        One that is cut off from the store can accept nothing, while another may. Where none can,
-        the platform goes on using all of them.
+        A process that is cut off from the store can't accept jobs, while others may. If no process
+        is ready, the platform keeps using all of them.
         """
-        heard_ago_ms = monotonic_ms() - self.store_heard_ms()
+        answer_age_ms = monotonic_ms() - self.store_answered_ms()
         return (
             self.directory.config is not None
             and bool(self.directory.layout.shares)
             and not self.is_stopping
-            and heard_ago_ms < STORE_SILENT_MS
+            and answer_age_ms < STORE_ANSWER_MAX_AGE_MS
         )
--- a/tests/instance/test_service_partitions.py
+++ b/tests/instance/test_service_partitions.py
@@ -182,7 +182,9 @@
             layout = site.processes[0].directory.state.layout
             assert set(restored_owners(site)) == set(layout.all_partitions()) == {0}
             idle = next(process for process in site.processes if not process.owners)
-            await site.async_wait(lambda: bool(idle.unused) or idle.fleet_owner is not None)
+            await site.async_wait(
+                lambda: bool(idle.unused_partitions) or idle.fleet_owner is not None
+            )
             assert idle.directory.follows_workers == (idle.fleet_owner is not None)
             further = QUEUE | {"name": "books", "pathPrefix": "/b/", "service": "desk"}
             site.platform.configure(2, [QUEUE, further], ["portal", "desk", "spare"])
--- a/tests/instance/test_status.py
+++ b/tests/instance/test_status.py
@@ -9,32 +9,32 @@
 from heatherkeel.directory.directory import DirectoryState
 from heatherkeel.gateway.metrics import GatewayMetrics
 from heatherkeel.helpers.clock import monotonic_ms
-from heatherkeel.instance.status import STORE_SILENT_MS, StatusApp
+from heatherkeel.instance.status import STORE_ANSWER_MAX_AGE_MS, StatusApp
 from heatherkeel.ownership.partitions import Layout
 from heatherkeel.platform.operator import Configuration
 
 from .site import open_site
 
 
-def make_status(*, store_heard_ms: int) -> StatusApp:
+def make_status(*, store_answered_ms: int) -> StatusApp:
     """Return the status of a process that has a configuration."""
     return StatusApp(
         directory=DirectoryState(
             config=Configuration(version=1), layout=Layout(shares={"portal": (0,)})
         ),
         metrics=GatewayMetrics(),
-        store_heard_ms=lambda: store_heard_ms,
+        store_answered_ms=lambda: store_answered_ms,
     )
 
 
 def test_process_without_the_store_is_not_ready() -> None:
     """Guards against routing callers to a zone that is cut off from the store."""
-    assert make_status(store_heard_ms=monotonic_ms()).is_ready()
-    assert not make_status(store_heard_ms=monotonic_ms() - STORE_SILENT_MS).is_ready()
+    assert make_status(store_answered_ms=monotonic_ms()).is_ready()
+    assert not make_status(store_answered_ms=monotonic_ms() - STORE_ANSWER_MAX_AGE_MS).is_ready()
 
 
 def test_stopping_process_is_not_ready() -> None:
-    status = make_status(store_heard_ms=monotonic_ms())
+    status = make_status(store_answered_ms=monotonic_ms())
     status.is_stopping = True
     assert not status.is_ready()
 
--- a/tests/instance/test_store_faults_of_one_process.py
+++ b/tests/instance/test_store_faults_of_one_process.py
@@ -35,7 +35,7 @@
     async def async_test() -> None:
         async with open_site(processes=1) as site:
             process = await async_add_side_process(site)
-            await site.async_wait(lambda: bool(process.owners or process.unused))
+            await site.async_wait(lambda: bool(process.owners or process.unused_partitions))
             setattr(site.platform.faults, fault, True)
             assert await site.async_submit(process, JOB, "work 50") == 200
             await site.async_wait_state(process, JOB, "complete")
