--- a/heatherkeel/explain/__init__.py
+++ b/heatherkeel/explain/__init__.py
@@ -1,1 +1,1 @@
-"""What the logs of several processes say of one job or request, in one timeline."""
+"""Builds one timeline of a job or request from the logs of several processes."""
--- a/heatherkeel/explain/const.py
+++ b/heatherkeel/explain/const.py
@@ -1,23 +1,22 @@
-"""Which lines explain a job, and what counts as a gap."""
+"""Constants for the selection and rendering of log lines."""
 
 from __future__ import annotations
 
 from typing import Final
 
 GAP_MS: Final = 1000
-"""Without a line for this long the timeline says so, in milliseconds: a turn's jobs are started
-within some hundred milliseconds, so a second is time in which something was missing."""
+"""Shortest time without a line that the timeline reports as a gap, in milliseconds."""
 PARTITION_EVENTS: Final = frozenset(
     {"fenced", "journal_lost", "journal_regained", "partition_owned", "sequence"}
 )
-"""What befell the partition that a job is in; these lines have `partition`."""
+"""Events of the partition that a job is in; these lines have `partition`."""
 OWNERSHIP_EVENT: Final = "ownership"
-"""Names partitions in two lists, `gained` and `lost`."""
+"""Event that lists partitions in its fields `gained` and `lost`."""
 PROCESS_EVENTS: Final = frozenset(
     {"isolated", "lines_left_out", "reachable", "reload", "reserve", "start", "stop", "stopped"}
     | {"store_lost", "store_regained"}
 )
-"""What befell a process; told of those that have a line of the job."""
+"""Events of a process, shown for the processes that logged a line of the job."""
 WORKER_EVENTS: Final = frozenset(
     {
         "worker_aside",
@@ -28,8 +27,8 @@
         "worker_silent",
     }
 )
-"""What an owner came to believe of a worker; told of those on which the job lost something."""
+"""Changes of a worker's state as its owner sees it, shown for the workers in the job's lines."""
 HIDDEN_FIELDS: Final = frozenset(
     {"event", "instance", "level", "logger", "message", "taskName", "time", "zone"}
 )
-"""Fields that the timeline shows elsewhere, or that say where in the program a line was written."""
+"""Fields that the timeline shows elsewhere, or that only give the source of a line."""
--- a/heatherkeel/explain/models.py
+++ b/heatherkeel/explain/models.py
@@ -1,4 +1,4 @@
-"""One line of a log."""
+"""Data classes for log lines."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LogLine:
-    """A line with its time; `fields` is all that stands in it."""
+    """A parsed log line; `fields` holds every field of it."""
 
     time_ms: int
     """Milliseconds since 1970 by the clock of the process that wrote it."""
@@ -16,8 +16,8 @@
     instance: str
     fields: dict[str, Any] = field(default_factory=dict)
 
-    def names(self, subject: str) -> bool:
-        """Say whether the line is of a job or request: by its id, or by that of a task of it."""
+    def mentions(self, subject: str) -> bool:
+        """Return whether a field holds the id of a job or request, or of one of its tasks."""
         prefix = f"{subject}."
         return any(
             value == subject or value.startswith(prefix)
@@ -28,8 +28,8 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Logs:
-    """All lines that could be read, in the order of their times."""
+    """All lines that could be parsed, ordered by time."""
 
     lines: list[LogLine]
     unreadable: int
-    """How many lines of the files were none of ours."""
+    """Number of lines in the files that couldn't be parsed."""
--- a/heatherkeel/explain/reading.py
+++ b/heatherkeel/explain/reading.py
@@ -1,4 +1,4 @@
-"""Reads the log files of processes."""
+"""Reads log files of JSON lines."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Read one line; what a collector wrote before the JSON is left out."""
+    """Parse one line; a log collector's prefix before the JSON is ignored."""
     start = text.find("{")
     if start < 0:
         return None
@@ -46,7 +46,7 @@
 
 
 def _read_lines(stream: Iterable[str], lines: list[LogLine]) -> int:
-    """Add the lines that can be read; returns how many can't."""
+    """Append the lines that can be parsed; returns the number of those that can't."""
     unreadable = 0
     for text in stream:
         line = parse_line(text)
--- a/heatherkeel/explain/timeline.py
+++ b/heatherkeel/explain/timeline.py
@@ -1,4 +1,4 @@
-"""Chooses the lines that explain one job or request, and shows them in order."""
+"""Selects the log lines that explain one job or request and renders them in order."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 def choose_lines(lines: list[LogLine], subject: str) -> list[LogLine]:
-    """Return the lines of a subject, and what befell its partition, processes and workers.
+    """Return the lines of a job or request, and events of its partition, processes and workers.
 
-    Those others are told only between its first and its last line: what a process went through
-    before doesn't explain it. Returns none if no line names the subject.
+    Those events are included only between its first and its last line, because earlier ones don't
+    explain it. Returns an empty list if no line mentions the subject.
     """
-    own = [line for line in lines if line.names(subject)]
-    if not own:
+    subject_lines = [line for line in lines if line.mentions(subject)]
+    if not subject_lines:
         return []
-    partitions = {line.fields.get("partition") for line in own} - {None}
-    instances = {line.instance for line in own}
-    workers = {line.fields.get("worker") for line in own} - {None}
-    first_ms, last_ms = own[0].time_ms, own[-1].time_ms
+    partitions = {line.fields.get("partition") for line in subject_lines} - {None}
+    instances = {line.instance for line in subject_lines}
+    workers = {line.fields.get("worker") for line in subject_lines} - {None}
+    first_ms, last_ms = subject_lines[0].time_ms, subject_lines[-1].time_ms
 
     def is_context(line: LogLine) -> bool:
         if not first_ms <= line.time_ms <= last_ms:
@@ -40,22 +40,25 @@
             return line.fields.get("worker") in workers
         return line.event in PROCESS_EVENTS and line.instance in instances
 
-    return [line for line in lines if line.names(subject) or is_context(line)]
+    return [line for line in lines if line.mentions(subject) or is_context(line)]
 
 
 def render_timeline(lines: list[LogLine]) -> Iterator[str]:
-    """Return the timeline's text, a line each; long silences are named."""
+    """Yield the lines of the timeline; gaps of at least `GAP_MS` get a line of their own."""
     if not lines:
         return
     width = max(len(line.instance) for line in lines)
-    before_ms = lines[0].time_ms
+    previous_ms = lines[0].time_ms
     for line in lines:
-        silent_ms = line.time_ms - before_ms
-        if silent_ms >= GAP_MS:
-            yield f"            ... {silent_ms / 1000:.1f} s without a line"
+        gap_ms = line.time_ms - previous_ms
+        if gap_ms >= GAP_MS:
+            yield f"            ... {gap_ms / 1000:.1f} s without a line"
         since_ms = line.time_ms - lines[0].time_ms
-        yield f"{since_ms:>8} ms  {line.instance:<{width}}  {line.event:<16} {_tell(line)}".rstrip()
-        before_ms = line.time_ms
+        yield (
+            f"{since_ms:>8} ms  {line.instance:<{width}}  "
+            f"{line.event:<16} {_format_fields(line)}"
+        ).rstrip()
+        previous_ms = line.time_ms
 
 
 def _changed_partitions(line: LogLine) -> set[object]:
@@ -66,6 +69,6 @@
     return changed
 
 
-def _tell(line: LogLine) -> str:
+def _format_fields(line: LogLine) -> str:
     shown = ((key, value) for key, value in line.fields.items() if key not in HIDDEN_FIELDS)
     return " ".join(f"{key}={value}" for key, value in shown)
--- a/tests/explain/test_timeline.py
+++ b/tests/explain/test_timeline.py
@@ -1,4 +1,4 @@
-"""One job's way through several processes, told from their logs."""
+"""The timeline of one job from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -32,16 +32,14 @@
 
 
 def accepted(partition: int = 1) -> dict[str, Any]:
-    """Return the line of the process that took the job."""
+    """Return the line of the process that accepted the job."""
     return {"event": "job_accepted", "job": JOB, "partition": partition}
 
 
-def test_job_that_was_lost_in_a_hand_over_is_told_across_processes(
-    tmp_path: Path, capsys: Captured
-) -> None:
-    """The owner of a job's partition is killed; the next one goes on three seconds later.
+def test_timeline_follows_a_job_through_a_change_of_owner(tmp_path: Path, capsys: Captured) -> None:
+    """Guards against a timeline that ends when the owner of the job's partition is replaced.
 
-    No line names both: the job's own lines stop in one file and go on in another.
+    The job's lines stop in one file and continue in another; no line mentions both owners.
     """
     files = write_logs(
         tmp_path,
@@ -72,7 +70,9 @@
     assert lines[-1].split()[0] == "4000" and "late_ms=900" in lines[-1]
 
 
-def test_outage_of_the_store_is_told_where_the_job_met_it(tmp_path: Path, capsys: Captured) -> None:
+def test_store_outage_is_shown_only_for_processes_of_the_job(
+    tmp_path: Path, capsys: Captured
+) -> None:
     files = write_logs(
         tmp_path,
         front=[
@@ -88,9 +88,7 @@
     assert "reason=store_silent" in out
 
 
-def test_silent_worker_is_told_with_the_run_that_was_lost_there(
-    tmp_path: Path, capsys: Captured
-) -> None:
+def test_unresponsive_worker_is_shown_with_its_lost_run(tmp_path: Path, capsys: Captured) -> None:
     files = write_logs(
         tmp_path,
         owner=[
@@ -105,9 +103,7 @@
     assert "worker=w1" in out and "worker=w2" not in out
 
 
-def test_restart_of_a_worker_is_told_with_the_run_that_it_cost(
-    tmp_path: Path, capsys: Captured
-) -> None:
+def test_worker_restart_is_shown_with_its_lost_run(tmp_path: Path, capsys: Captured) -> None:
     files = write_logs(
         tmp_path,
         owner=[
@@ -120,7 +116,7 @@
     assert "born=1796286683078" in capsys.readouterr().out
 
 
-def test_lines_with_a_collectors_prefix_are_read_and_others_are_counted(
+def test_collector_prefix_is_ignored_and_unreadable_lines_are_counted(
     tmp_path: Path, capsys: Captured
 ) -> None:
     file = tmp_path / "all.log"
@@ -132,7 +128,7 @@
     assert captured.err == "2 lines can't be read and are left out\n"
 
 
-def test_unknown_id_and_missing_file_are_said_so(tmp_path: Path, capsys: Captured) -> None:
+def test_unknown_id_and_missing_file_are_reported(tmp_path: Path, capsys: Captured) -> None:
     files = write_logs(tmp_path, a=[(1.0, accepted())])
     assert main(["explain", "ffff", *files]) == 1
     assert capsys.readouterr().err == "no line of 1 names 'ffff'\n"
