--- a/heatherkeel/admin/access.py
+++ b/heatherkeel/admin/access.py
@@ -1,4 +1,4 @@
-"""Who calls: a team is known by its token."""
+"""Authenticates callers by their team's token."""
 
 from __future__ import annotations
 
@@ -19,45 +19,44 @@
 
 
 class AccessControl:
-    """Finds the team of a token, and says whether a caller may go on."""
+    """Maps bearer tokens to teams and checks whether a request is allowed."""
 
     def __init__(self, *, teams: Mapping[str, TeamSettings], bind: str) -> None:
         self.digests = {name: _digest(team.token) for name, team in teams.items()}
         self.reads_open = is_loopback(bind)
 
     def admit(self, access: Access, authorization: str) -> Result[str, Problem]:
-        """Return the caller's team, or an empty name where none is needed."""
+        """Return the caller's team, or an empty name where no token is required."""
         team = self.find_team(authorization)
         if team:
             return Ok(team)
         if access is Access.OPEN:
             return Ok("")
-        # A wrong token is told even where none is needed: the operator should learn of it.
+        # An invalid token is rejected even where none is required, so that the caller notices it.
         if access is Access.READ and self.reads_open and not authorization:
             return Ok("")
-        return Err(_refuse(authorization))
+        return Err(_unauthorized(authorization))
 
     def find_team(self, authorization: str) -> str:
         """Return the team whose token the header carries; empty if there is none.
 
-        Every team's token is compared, each in constant time: an answer that came sooner for a
-        longer right beginning, or for an earlier team, would let a caller guess a token piece
-        by piece. Digests are compared, so that lengths don't show either.
+        Prevents timing attacks: every team's token is compared in constant time, and digests
+        are compared so that the token's length isn't revealed.
         """
         scheme, _, token = authorization.partition(" ")
-        shown = _digest(token.strip())
-        found = ""
+        presented_digest = _digest(token.strip())
+        matched_team = ""
         for name, digest in self.digests.items():
-            if hmac.compare_digest(digest, shown):
-                found = name
-        return found if scheme.lower() == _SCHEME else ""
+            if hmac.compare_digest(digest, presented_digest):
+                matched_team = name
+        return matched_team if scheme.lower() == _SCHEME else ""
 
 
 def _digest(token: str) -> bytes:
     return hashlib.sha256(token.encode("utf-8", "surrogatepass")).digest()
 
 
-def _refuse(authorization: str) -> Problem:
+def _unauthorized(authorization: str) -> Problem:
     detail = (
         "authorization: no team has this token"
         if authorization
--- a/heatherkeel/admin/app.py
+++ b/heatherkeel/admin/app.py
@@ -30,7 +30,7 @@
 
 
 class AdminApp:
-    """Finds the handler of a request, lets the caller in, and sends the reply."""
+    """Routes requests, checks access and sends replies."""
 
     def __init__(
         self, *, node: Node, on_refusal: Callable[[ApiRefusal], None] = lambda refusal: None
@@ -51,18 +51,18 @@
         except ClientGoneError:
             return None
         if isinstance(reply, Err):
-            self.on_refusal(_refusal_of(reply.err_value.kind))
+            self.on_refusal(_refusal_label(reply.err_value.kind))
         return await _async_send(send, reply)
 
     async def _async_reply(self, request: Request) -> Reply:
         match = find_routes(request.path)
         if match is None:
             return Err(Problem(status=404, kind=ApiRefusal.NO_SUCH_PATH, title="No such path"))
-        # The server leaves out the body of an answer to HEAD.
+        # The ASGI server omits the body of a response to HEAD.
         method = "GET" if request.method == "HEAD" else request.method
         route = match.routes.get(method)
         if route is None:
-            return Err(_wrong_method(match))
+            return Err(_method_not_allowed(match))
         return await self._async_call(request, match, route)
 
     async def _async_call(self, request: Request, match: Match, route: Route) -> Reply:
@@ -75,14 +75,14 @@
         return await route.handler(call)
 
 
-def _refusal_of(kind: str) -> ApiRefusal:
-    """Return the label that a problem is counted under."""
+def _refusal_label(kind: str) -> ApiRefusal:
+    """Return the metric label of a problem."""
     if isinstance(kind, RejectReason) or kind not in set(ApiRefusal):
         return ApiRefusal.BY_FOLD
     return ApiRefusal(kind)
 
 
-def _wrong_method(match: Match) -> Problem:
+def _method_not_allowed(match: Match) -> Problem:
     allowed = sorted({*match.routes, "HEAD"} if "GET" in match.routes else match.routes)
     return Problem(
         status=405,
@@ -94,7 +94,7 @@
 
 
 def _not_ready() -> Problem:
-    """Say so while the log was never read to its end: a 404 here would be a guess."""
+    """Return 503 until the log has been read to its end; until then a 404 could be wrong."""
     return Problem(
         status=503,
         kind=ApiRefusal.NOT_READY,
--- a/heatherkeel/admin/applying.py
+++ b/heatherkeel/admin/applying.py
@@ -1,4 +1,4 @@
-"""Brings the catalogue to what an operator's file says, one entry after the other."""
+"""Applies an operator's file to the catalogue, one entry at a time."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ApplyOutcome(StrEnum):
-    """What became of one entry of the file."""
+    """Result of applying one entry of the file."""
 
     UNCHANGED = "unchanged"
     CREATED = "created"
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Applied:
-    """The outcome of one entry, with the lines that explain it."""
+    """The outcome of one entry, with explanatory lines for the operator."""
 
     name: str
     outcome: ApplyOutcome
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Edit:
-    """One edit as it is sent, and repeated if its outcome is unknown."""
+    """An edit request, retried if its outcome is unknown."""
 
     name: str
     method: str
@@ -69,7 +69,7 @@
 
 
 class Applier:
-    """Reads what is in force, edits what differs, and repeats only under one key."""
+    """Sends an edit for each entry that differs, and retries under the same idempotency key."""
 
     def __init__(
         self,
@@ -93,21 +93,20 @@
             case Ok(answer):
                 return _refused(name, answer)
             case Err(error):
-                return _not_reached(name, error)
+                return _unreachable(name, error)
 
     def _send(self, edit: Edit) -> Applied:
-        """Send an edit until its outcome is known, or for as long as is worth waiting.
+        """Send an edit until its outcome is known or `repeat_for_s` has passed.
 
-        An answer that got lost may have been "accepted". The key makes a repeat harmless; after
-        it, only the outcome of the record itself is believed, and "this attempt was not
-        accepted" no longer means that the edit was not.
+        If a response was lost, the edit may have been accepted. From then on a rejected retry
+        doesn't prove that the edit was not accepted; only the record's own outcome does.
         """
         give_up_at = self.now_s() + self.repeat_for_s
-        perhaps_accepted = False
+        maybe_accepted = False
         while True:
             sent = self._attempt(edit)
-            outcome = _conclude(edit, sent, perhaps_accepted=perhaps_accepted)
-            perhaps_accepted = perhaps_accepted or _may_have_been_accepted(sent)
+            outcome = _outcome_of_attempt(edit, sent, maybe_accepted=maybe_accepted)
+            maybe_accepted = maybe_accepted or _may_have_been_accepted(sent)
             if outcome.outcome is not ApplyOutcome.UNKNOWN or self.now_s() > give_up_at:
                 return outcome
             self.sleep(_pause_s(sent))
@@ -118,12 +117,12 @@
 
 
 def path_of(name: str) -> str:
-    """Return the path of an entry; a name that can't be one must not reach another path."""
+    """Return the path of an entry; quoting keeps an invalid name from reaching another path."""
     return f"/catalogue/{quote(name, safe='')}"
 
 
 def plan_edit(name: str, wanted: Any, read: ApiAnswer) -> Edit | Applied:
-    """Compare the entry in force with the wanted one."""
+    """Compare the entry in force with the wanted one and return the edit it needs, if any."""
     in_force = read.value if read.status == 200 else None
     lines = tuple(diff_lines(_with_defaults(in_force), _with_defaults(wanted)))
     if wanted == in_force or (in_force is not None and wanted is not None and not lines):
@@ -157,33 +156,35 @@
         yield from diff_lines({}, after, path)
         return
     if before != after:
-        yield f"{path}: {_show(before)} -> {_show(after)}"
+        yield f"{path}: {_format_value(before)} -> {_format_value(after)}"
 
 
 def problem_lines(answer: ApiAnswer) -> list[str]:
-    """Return what an error answer says, one line for each fault."""
+    """Return the detail of an error response, one line for each fault."""
     problem = answer.value if isinstance(answer.value, dict) else {}
     detail = problem.get("detail") or problem.get("title") or f"status {answer.status}"
     return str(detail).splitlines()
 
 
 def _with_defaults(value: Any) -> Any:
-    """Fill in what an entry leaves out; one that is not valid stays as it is."""
+    """Fill in the defaults of an entry; an invalid one is returned unchanged."""
     try:
         return msgspec.to_builtins(msgspec.convert(value, CatalogueEntry))
     except msgspec.ValidationError:
         return value
 
 
-def _show(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return ABSENT if value is None else msgspec.json.encode(value).decode()
 
 
-def _conclude(edit: Edit, sent: Result[ApiAnswer, CallError], *, perhaps_accepted: bool) -> Applied:
-    """Say what is known of an edit after an attempt."""
+def _outcome_of_attempt(
+    edit: Edit, sent: Result[ApiAnswer, CallError], *, maybe_accepted: bool
+) -> Applied:
+    """Return the outcome of an edit after an attempt."""
     if isinstance(sent, Err):
         error = sent.err_value
-        unknown = perhaps_accepted or error.failure is CallFailure.UNKNOWN
+        unknown = maybe_accepted or error.failure is CallFailure.UNKNOWN
         return _failed(edit, [error.detail], unknown=unknown)
     answer = sent.ok_value
     if answer.status == 200:
@@ -197,7 +198,7 @@
     if _may_have_been_accepted(sent):
         return _failed(edit, problem_lines(answer), unknown=True)
     if answer.status == 503:
-        return _failed(edit, problem_lines(answer), unknown=perhaps_accepted)
+        return _failed(edit, problem_lines(answer), unknown=maybe_accepted)
     return _refused(edit.name, answer)
 
 
@@ -224,12 +225,12 @@
     return Applied(name=edit.name, outcome=outcome, lines=tuple(lines))
 
 
-def _not_reached(name: str, error: CallError) -> Applied:
+def _unreachable(name: str, error: CallError) -> Applied:
     return Applied(name=name, outcome=ApplyOutcome.NOT_ACCEPTED, lines=(error.detail,))
 
 
 def _pause_s(sent: Result[ApiAnswer, CallError]) -> float:
     if isinstance(sent, Err):
         return PAUSE_S
-    told = sent.ok_value.headers.get("retry-after", "")
-    return float(told) if told.isdecimal() else PAUSE_S
+    retry_after = sent.ok_value.headers.get("retry-after", "")
+    return float(retry_after) if retry_after.isdecimal() else PAUSE_S
--- a/heatherkeel/admin/bodies.py
+++ b/heatherkeel/admin/bodies.py
@@ -1,4 +1,4 @@
-"""Reads the bodies of requests; of a catalogue entry it finds every fault."""
+"""Reads and validates request bodies."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .reasons import ApiRefusal
 
 ENTRY: Final = "entry"
-"""Begins the path of every field of an entry."""
+"""Prefix of the field paths of an entry."""
 
 INVALID_ENTRY: Final = "The entry is not valid"
 
@@ -26,10 +26,10 @@
 async def async_read_body(
     request: Request, *, limit_bytes: int
 ) -> Result[bytes, BodyTooLarge] | None:
-    """Read the whole body, or return None if it does not come in time.
+    """Read the whole body, or return None on a timeout.
 
-    A caller that stops in the middle of its body would hold the connection for good. Raises
-    `ClientGoneError` if the caller hangs up.
+    The timeout keeps a stalled caller from holding its connection open. Raises
+    `ClientGoneError` if the caller disconnects.
     """
     with trio.move_on_after(BODY_TIMEOUT_S):
         return await request.async_body(limit_bytes=limit_bytes)
@@ -39,19 +39,19 @@
 async def async_read_entry(
     request: Request, *, teams: Collection[str]
 ) -> Result[CatalogueEntry, Problem]:
-    """Read the body as an entry; raises `ClientGoneError` if the caller hangs up."""
+    """Read the body as an entry; raises `ClientGoneError` if the caller disconnects."""
     if not _is_json(request.headers.get("content-type", JSON_TYPE)):
-        return Err(_wrong_type())
+        return Err(_wrong_content_type())
     read = await async_read_body(request, limit_bytes=MAX_BODY_BYTES)
     if read is None:
-        return Err(_too_slow())
+        return Err(_body_timeout())
     if isinstance(read, Err):
-        return Err(_too_large(read.err_value.limit_bytes))
+        return Err(_body_too_large(read.err_value.limit_bytes))
     return decode_entry(read.ok_value, teams=teams)
 
 
 def decode_entry(body: bytes, *, teams: Collection[str]) -> Result[CatalogueEntry, Problem]:
-    """Decode an entry, or name everything that is wrong with it."""
+    """Decode an entry, or return a problem that lists all faults."""
     try:
         document = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
@@ -63,7 +63,7 @@
 
 
 def invalid_body(faults: list[FieldFault], *, title: str) -> Problem:
-    """Return the problem that names the faults of a body."""
+    """Return a problem that lists the faults of a body."""
     return Problem(
         status=422,
         kind=ApiRefusal.INVALID,
@@ -85,9 +85,9 @@
 
 
 def _owner_faults(document: Any, teams: Collection[str]) -> list[FieldFault]:
-    """Refuse an owner that nobody can act for: the entry could never be changed again.
+    """Return a fault if the owner is not a configured team: nobody could edit the entry.
 
-    Only the border can tell, as the fold doesn't know the settings.
+    Checked here because the fold has no access to the settings.
     """
     owner = document.get("owner") if isinstance(document, dict) else None
     if not isinstance(owner, str) or owner in teams:
@@ -95,7 +95,7 @@
     return [FieldFault(field=f"{ENTRY}.owner", reason="no team of this name has a token here")]
 
 
-def _wrong_type() -> Problem:
+def _wrong_content_type() -> Problem:
     return Problem(
         status=415,
         kind=ApiRefusal.WRONG_CONTENT_TYPE,
@@ -104,7 +104,7 @@
     )
 
 
-def _too_slow() -> Problem:
+def _body_timeout() -> Problem:
     return Problem(
         status=408,
         kind=ApiRefusal.BODY_TOO_SLOW,
@@ -114,7 +114,7 @@
     )
 
 
-def _too_large(limit_bytes: int) -> Problem:
+def _body_too_large(limit_bytes: int) -> Problem:
     return Problem(
         status=413,
         kind=ApiRefusal.BODY_TOO_LARGE,
--- a/heatherkeel/admin/catalogue.py
+++ b/heatherkeel/admin/catalogue.py
@@ -1,4 +1,4 @@
-"""Handlers of the catalogue: list, read, create, change and delete entries."""
+"""Handlers of `/catalogue` and `/records`."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ListedEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One entry in force, as the list shows it."""
+    """One entry in force, as listed by `/catalogue`."""
 
     name: str
     version: int
@@ -52,19 +52,19 @@
 
 @route("GET", "/catalogue", access=Access.READ)
 async def async_list(call: Call) -> Reply:
-    """List the entries in force; `kind` and `owner` in the query narrow the list."""
+    """List the entries in force, filtered by `kind` and `owner` in the query."""
     fleet = call.node.state.fleet
     entries = [
         _listed(name, stored)
         for name, stored in sorted(fleet.catalogue.entries.items())
-        if _is_wanted(stored.entry, call.request.query)
+        if _matches_query(stored.entry, call.request.query)
     ]
     return Ok(Answer(value=EntryList(offset=fleet.next_offset - 1, entries=entries)))
 
 
 @route("GET", "/catalogue/{name}", access=Access.READ)
 async def async_get(call: Call) -> Reply:
-    """Read one entry; its version is the entity tag."""
+    """Return one entry, with its version as the entity tag."""
     fleet = call.node.state.fleet
     stored = fleet.catalogue.entries.get(call.params["name"])
     if stored is None:
@@ -77,10 +77,10 @@
 
 @route("PUT", "/catalogue/{name}", access=Access.EDIT)
 async def async_put(call: Call) -> Reply:
-    """Create an entry, or change the version that the operator has seen."""
+    """Create an entry, or replace the version named by the precondition."""
     name = call.params["name"]
     if not is_name(name):
-        return Err(_bad_name())
+        return Err(_invalid_name())
     key = idempotency_key(call.request.headers)
     in_force = _version_in_force(call, name, key.unwrap_or(""))
     expected = expected_version(call.request.headers, in_force=in_force)
@@ -99,7 +99,7 @@
 
 @route("DELETE", "/catalogue/{name}", access=Access.EDIT)
 async def async_delete(call: Call) -> Reply:
-    """Delete the version that the operator has seen."""
+    """Delete an entry at the version named by the precondition."""
     name = call.params["name"]
     if not is_name(name):
         return Err(_not_found("name", "no such entry"))
@@ -117,7 +117,7 @@
 
 @route("GET", "/records/{record}", access=Access.READ)
 async def async_get_record(call: Call) -> Reply:
-    """Tell what became of an edit, also one that another entry instance took."""
+    """Return the outcome of an edit, including one sent through another entry instance."""
     fleet = call.node.state.fleet
     record = call.params["record"]
     outcome = fleet.outcomes.get(record)
@@ -131,7 +131,7 @@
 
 
 def is_name(text: str) -> bool:
-    """Say whether an entry can have this name."""
+    """Return whether the text is a valid entry name."""
     return len(text) <= MAX_NAME_CHARS and _NAME.search(text) is not None
 
 
@@ -139,15 +139,15 @@
     return ListedEntry(name=name, version=stored.version, offset=stored.offset, entry=stored.entry)
 
 
-def _is_wanted(entry: CatalogueEntry, query: dict[str, str]) -> bool:
+def _matches_query(entry: CatalogueEntry, query: dict[str, str]) -> bool:
     kind = type(entry).__struct_config__.tag
     return query.get("kind", kind) == kind and query.get("owner", entry.owner) == entry.owner
 
 
 def _version_in_force(call: Call, name: str, key: str) -> int:
-    """Return the version that an edit has to know of; 0 if it needs to know of none.
+    """Return the version that an edit must name as its precondition; 0 if none is required.
 
-    A repeat of a creation needs none: the version in force is its own.
+    A retry under a decided key requires none: the version in force may be its own.
     """
     if record_id_of(call, key) in call.node.state.fleet.outcomes:
         return 0
@@ -172,7 +172,7 @@
     )
 
 
-def _bad_name() -> Problem:
+def _invalid_name() -> Problem:
     reason = (
         f"up to {MAX_NAME_CHARS} lower-case letters, digits, '.', '_' or '-', with a letter or "
         "digit at both ends"
--- a/heatherkeel/admin/client.py
+++ b/heatherkeel/admin/client.py
@@ -1,4 +1,4 @@
-"""Calls the administration API over HTTP, for the command line."""
+"""HTTP client of the administration API, for the command line."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from heatherkeel.helpers.asgi import JSON_TYPE
 
 CALL_TIMEOUT_S: Final = 30.0
-"""Longer than an entry instance waits for the log, so that its own words come through."""
+"""Longer than an entry instance waits for the log, so that its error response arrives."""
 
 
 class CallFailure(StrEnum):
-    """What is known about a call without an answer."""
+    """Whether a call without a response can have taken effect."""
 
     NOT_SENT = "not_sent"
-    """No connection: the call surely had no effect."""
+    """No connection: the call had no effect."""
     UNKNOWN = "unknown"
-    """Sent, but no whole answer: it may have taken effect."""
+    """Sent, but no complete response: the call may have taken effect."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallError:
-    """A call without an answer."""
+    """A call without a response."""
 
     failure: CallFailure
     detail: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ApiAnswer:
-    """An answer of the API; `value` is its decoded JSON, None if it has none."""
+    """A response of the API; `value` is its decoded JSON, or None."""
 
     status: int
     headers: dict[str, str]
@@ -44,7 +44,7 @@
 
 
 class AdminClient:
-    """One operator's way to one admin port; repeats nothing by itself."""
+    """Client of one admin port; does not retry."""
 
     def __init__(self, *, address: str, token: str, cafile: str = "") -> None:
         scheme = "https" if cafile else "http"
@@ -54,13 +54,13 @@
         self.pool = httpcore.ConnectionPool(retries=0, ssl_context=context)
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection pool."""
         self.pool.close()
 
     def call(
         self, method: str, path: str, *, value: Any = None, headers: dict[str, str] | None = None
     ) -> Result[ApiAnswer, CallError]:
-        """Make one call; a value is sent as JSON."""
+        """Send one request; a value is sent as JSON."""
         sent = {"content-type": JSON_TYPE, "accept-encoding": "identity", **(headers or {})}
         if self.token:
             sent["authorization"] = f"Bearer {self.token}"
@@ -78,10 +78,10 @@
             return Err(CallError(failure=CallFailure.NOT_SENT, detail=str(err) or repr(err)))
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException) as err:
             return Err(CallError(failure=CallFailure.UNKNOWN, detail=str(err) or repr(err)))
-        return Ok(_read(response))
+        return Ok(_parse_response(response))
 
 
-def _read(response: httpcore.Response) -> ApiAnswer:
+def _parse_response(response: httpcore.Response) -> ApiAnswer:
     headers = {
         name.decode("latin-1").lower(): value.decode("latin-1") for name, value in response.headers
     }
--- a/heatherkeel/admin/edits.py
+++ b/heatherkeel/admin/edits.py
@@ -1,4 +1,4 @@
-"""Carries an edit into the log, and tells the operator truthfully what became of it."""
+"""Appends edits to the log and reports their outcome to the operator."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class AcceptedEdit(msgspec.Struct, frozen=True, kw_only=True):
-    """Tells where an accepted edit stands in the log, and which version it made."""
+    """Log position of an accepted edit and the entry version it created."""
 
     record: str
     offset: int
@@ -55,20 +55,20 @@
 
 
 def record_id_of(call: Call, key: str) -> str:
-    """Return the id of the record that carries an edit; no name has a colon."""
+    """Return the record id of an edit; unambiguous, as a team's name has no colon."""
     return f"{call.team}:{key}"
 
 
 async def async_submit(call: Call, body: RecordBody, *, key: str) -> Reply:
     """Append an edit and wait until the fold here has decided it.
 
-    An operator repeats an edit of unknown outcome under the same key, which gives the same
-    record id: the fold takes it once, and the repeat is answered with the first one's outcome.
+    A retry under the same key has the same record id, so the fold applies the edit once and
+    the retry gets the outcome of the first attempt.
     """
     record_id = record_id_of(call, key)
     node = call.node
     if record_id in node.state.fleet.outcomes:
-        return _tell_remembered(call, body, record_id)
+        return _remembered_reply(call, body, record_id)
     if record_id in node.writer.waiting:
         return Err(_in_progress(record_id))
     written = await node.writer.async_write(
@@ -77,37 +77,37 @@
         record_id=record_id,
         lifetime_ms=EDIT_LIFETIME_MS,
     )
-    # The record can have been decided although its author could not hear of it.
+    # The record may have been decided although the write reported a failure.
     if record_id in node.state.fleet.outcomes:
-        return _tell_remembered(call, body, record_id)
+        return _remembered_reply(call, body, record_id)
     match written:
         case Ok(settled):
-            return _tell_settled(settled)
+            return _settled_reply(settled)
         case Err(failure):
             repeated = "idempotency-key" in call.request.headers
-            return Err(_tell_failure(failure, record_id, key, repeated=repeated))
+            return Err(_write_failure_problem(failure, record_id, key, repeated=repeated))
 
 
-def _tell_remembered(call: Call, body: RecordBody, record_id: str) -> Reply:
-    """Tell the outcome of this very edit.
+def _remembered_reply(call: Call, body: RecordBody, record_id: str) -> Reply:
+    """Return the remembered outcome of this edit.
 
-    Another edit can have come under the same key; its outcome would be a lie for this one,
-    which the fold ignored as a second copy.
+    If another edit used the same key, the fold ignored this one as a duplicate, so the other
+    edit's outcome must not be returned.
     """
     outcome = call.node.state.fleet.outcomes[record_id]
     if outcome.body_sha256 != hashlib.sha256(encode_body(body)).hexdigest():
         return Err(_key_reused(record_id))
     if outcome.reason:
-        return Err(tell_refusal(record_id, outcome))
-    return Ok(_tell_accepted(record_id, outcome.offset, outcome.version))
+        return Err(refusal_problem(record_id, outcome))
+    return Ok(_accepted_answer(record_id, outcome.offset, outcome.version))
 
 
-def _tell_settled(settled: Settled) -> Reply:
-    """Tell an outcome that the fold doesn't remember, such as that of an expired record."""
+def _settled_reply(settled: Settled) -> Reply:
+    """Return an outcome that the fold doesn't remember, such as that of an expired record."""
     outcome = settled.outcome
     if isinstance(outcome, Accepted):
-        return Ok(_tell_accepted(settled.record_id, settled.offset, outcome.version))
-    return Err(tell_refusal(settled.record_id, _as_outcome(settled.offset, outcome)))
+        return Ok(_accepted_answer(settled.record_id, settled.offset, outcome.version))
+    return Err(refusal_problem(settled.record_id, _as_outcome(settled.offset, outcome)))
 
 
 def _as_outcome(offset: int, rejected: Rejected) -> RecordOutcome:
@@ -120,15 +120,15 @@
     )
 
 
-def _tell_accepted(record_id: str, offset: int, version: int) -> Answer:
+def _accepted_answer(record_id: str, offset: int, version: int) -> Answer:
     return Answer(
         value=AcceptedEdit(record=record_id, offset=offset, version=version),
         headers={"etag": format_etag(version), RECORD_HEADER: record_id},
     )
 
 
-def tell_refusal(record_id: str, outcome: RecordOutcome) -> Problem:
-    """Return the problem of an edit that the fold refused."""
+def refusal_problem(record_id: str, outcome: RecordOutcome) -> Problem:
+    """Return the problem for an edit that the fold rejected."""
     reason = RejectReason(outcome.reason)
     status = STATUS_OF_REASON.get(reason, DEFAULT_STATUS)
     headers = {RECORD_HEADER: record_id}
@@ -150,12 +150,14 @@
 
 
 def _split_faults(detail: str) -> list[FieldFault]:
-    """Part the lines `field: reason` that the rules of the catalogue write."""
-    parted = [line.partition(": ") for line in detail.splitlines()]
-    return [FieldFault(field=name, reason=reason) for name, found, reason in parted if found]
+    """Split the `field: reason` lines of a rejection's detail."""
+    parts = [line.partition(": ") for line in detail.splitlines()]
+    return [FieldFault(field=name, reason=reason) for name, found, reason in parts if found]
 
 
-def _tell_failure(failure: WriteFailure, record_id: str, key: str, *, repeated: bool) -> Problem:
+def _write_failure_problem(
+    failure: WriteFailure, record_id: str, key: str, *, repeated: bool
+) -> Problem:
     if failure is WriteFailure.TOO_LARGE:
         title = "The entry is too large"
         return Problem(
@@ -167,10 +169,10 @@
 
 
 def _not_accepted(failure: WriteFailure, record_id: str, *, repeated: bool) -> Problem:
-    """Say that the log did not take this attempt.
+    """Return the problem for an attempt that was not appended.
 
-    With the operator's own key this can be a repeat, and the first attempt, perhaps through
-    another entry instance, may stand in the log: a plain "was not accepted" would be a guess.
+    With the operator's own key this can be a retry whose first attempt was accepted, perhaps
+    through another entry instance, so the detail only speaks of this attempt.
     """
     detail = "The edit was not accepted, and will not be later: the platform's log is down."
     if repeated:
--- a/heatherkeel/admin/jobs.py
+++ b/heatherkeel/admin/jobs.py
@@ -1,4 +1,4 @@
-"""Handlers of jobs: submit, look up, list, cancel, and resolve what is unknown."""
+"""Handlers for jobs: submit, look up, list, cancel and resolve jobs."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class JobView(msgspec.Struct, frozen=True, kw_only=True):
-    """A job as its owner sees it; times in log milliseconds."""
+    """A job as shown by the API; times in log milliseconds."""
 
     job: str
     status: JobStatus
@@ -52,7 +52,7 @@
 
 
 class JobList(msgspec.Struct, frozen=True, kw_only=True):
-    """Jobs in force at `offset`, by id; `more` says that some were left out."""
+    """Jobs in force at `offset`, by id; `more` is true if the list was truncated."""
 
     offset: int
     more: bool
@@ -60,13 +60,13 @@
 
 
 class Cancellation(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Names of jobs of the caller's team."""
+    """The jobs to cancel."""
 
     jobs: list[str]
 
 
 class ResolutionRequest(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What the owner decides about an unknown job that it has seen at `version`."""
+    """The owner's decision about a job of unknown outcome, as read at `version`."""
 
     resolution: Resolution
     version: int
@@ -74,7 +74,7 @@
 
 @route("PUT", "/jobs/{name}", access=Access.EDIT)
 async def async_submit_job(call: Call) -> Reply:
-    """Submit a job; a repeat of the same one finds it and runs nothing anew."""
+    """Submit a job; submitting the same job again doesn't run it twice."""
     spec = await _async_read(call, JobSpec)
     if isinstance(spec, Err):
         return Err(spec.err_value)
@@ -87,19 +87,19 @@
 
 @route("GET", "/jobs/{name}", access=Access.READ)
 async def async_get_job(call: Call) -> Reply:
-    """Look up one job, of any team by its full id."""
+    """Look up one job; a job of another team needs its full id."""
     return _show(call, _full_id(call, call.params["name"]))
 
 
 @route("GET", "/jobs", access=Access.READ)
 async def async_list_jobs(call: Call) -> Reply:
-    """List jobs; `team` and `status` in the query narrow the list."""
+    """List jobs, filtered by `team` and `status` in the query."""
     fleet = call.node.state.fleet
     known: dict[str, Job | FinishedJob] = {**fleet.jobs.finished, **fleet.jobs.live}
     wanted = [
         _view(job_id, known[job_id])
         for job_id in sorted(known)
-        if _is_wanted(job_id, known[job_id], call.request.query)
+        if _matches_query(job_id, known[job_id], call.request.query)
     ]
     listed = JobList(
         offset=fleet.next_offset - 1,
@@ -111,11 +111,11 @@
 
 @route("POST", "/job-cancellations", access=Access.EDIT)
 async def async_cancel_jobs(call: Call) -> Reply:
-    """Cancel jobs, in as many records as they need; what one record names is taken together."""
-    asked = await _async_read(call, Cancellation)
-    if isinstance(asked, Err):
-        return Err(asked.err_value)
-    job_ids = [_full_id(call, name) for name in asked.ok_value.jobs]
+    """Cancel jobs in batches; each batch is one record and is decided as a whole."""
+    requested = await _async_read(call, Cancellation)
+    if isinstance(requested, Err):
+        return Err(requested.err_value)
+    job_ids = [_full_id(call, name) for name in requested.ok_value.jobs]
     for start in range(0, len(job_ids), MAX_BATCH):
         body = JobCancel(jobs=tuple(job_ids[start : start + MAX_BATCH]), team=call.team)
         written = await _async_write(call, body)
@@ -126,23 +126,23 @@
 
 @route("POST", "/jobs/{name}/resolution", access=Access.EDIT)
 async def async_resolve_job(call: Call) -> Reply:
-    """Decide about a job whose outcome is unknown."""
-    asked = await _async_read(call, ResolutionRequest)
-    if isinstance(asked, Err):
-        return Err(asked.err_value)
+    """Resolve a job whose outcome is unknown."""
+    requested = await _async_read(call, ResolutionRequest)
+    if isinstance(requested, Err):
+        return Err(requested.err_value)
     job_id = _full_id(call, call.params["name"])
     body = JobResolve(
         job=job_id,
         team=call.team,
-        expected_version=asked.ok_value.version,
-        resolution=asked.ok_value.resolution,
+        expected_version=requested.ok_value.version,
+        resolution=requested.ok_value.resolution,
     )
     written = await _async_write(call, body)
     return Err(written.err_value) if isinstance(written, Err) else _show(call, job_id)
 
 
 def _full_id(call: Call, name: str) -> str:
-    """Return `team:name`; a bare name is one of the caller's team."""
+    """Return `team:name`; a bare name belongs to the caller's team."""
     return name if ":" in name else f"{call.team}:{name}"
 
 
@@ -166,8 +166,8 @@
 async def _async_write(call: Call, body: RecordBody) -> Result[Accepted, Problem]:
     """Append a record and wait until the fold here has decided it.
 
-    Every one of them may be sent again: a submission, a cancellation and a resolution that
-    were taken before change nothing the second time.
+    Job records are idempotent: a submission, cancellation or resolution that was accepted
+    before changes nothing when it is sent again.
     """
     written = await call.node.writer.async_write(
         body, timeout_s=call.node.settings.admin.write_timeout_ms / 1000
@@ -247,9 +247,9 @@
     return "not_found" if finished is None else finished.status
 
 
-def _is_wanted(job_id: str, job: Job | FinishedJob, query: dict[str, str]) -> bool:
-    team_fits = query.get("team", job_team(job_id)) == job_team(job_id)
-    return team_fits and query.get("status", job.status) == job.status
+def _matches_query(job_id: str, job: Job | FinishedJob, query: dict[str, str]) -> bool:
+    team_matches = query.get("team", job_team(job_id)) == job_team(job_id)
+    return team_matches and query.get("status", job.status) == job.status
 
 
 def _invalid(faults: list[FieldFault]) -> Problem:
--- a/heatherkeel/admin/maintenance.py
+++ b/heatherkeel/admin/maintenance.py
@@ -1,4 +1,4 @@
-"""Handler of `/maintenance`: waves, drains, and what holds them up."""
+"""Handler of `/maintenance`: waves and drains in progress."""
 
 from __future__ import annotations
 
@@ -12,5 +12,5 @@
 
 @route("GET", "/maintenance", access=Access.READ)
 async def async_get_maintenance(call: Call) -> Reply:
-    """Show waves and drains under way, each with the reason why it has not ended."""
+    """Return the waves and drains in progress, each with the reason why it has not ended."""
     return Ok(Answer(value=maintenance_status(call.node.state.fleet)))
--- a/heatherkeel/admin/models.py
+++ b/heatherkeel/admin/models.py
@@ -1,4 +1,4 @@
-"""What a handler is given, and what it gives back."""
+"""Requests and replies of the API's handlers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Access(StrEnum):
-    """What a caller must show."""
+    """The authorization that a route requires."""
 
     OPEN = "open"
     READ = "read"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Call:
-    """One request to the API; `team` is empty if the caller showed no token."""
+    """One request to the API; `team` is empty if the caller sent no token."""
 
     node: Node
     request: Request
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Answer:
-    """A successful answer; `value` is encoded as JSON, None sends no body."""
+    """A successful response; `value` is encoded as JSON, None sends no body."""
 
     value: Any = None
     status: int = 200
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FieldFault:
-    """One thing that is wrong with a request, and the path of the field at fault."""
+    """A validation fault and the path of its field."""
 
     field: str
     reason: str
@@ -52,9 +52,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Problem:
-    """An error as the caller sees it (RFC 9457).
+    """An error response (RFC 9457).
 
-    `kind` ends its type: an `ApiRefusal`, or the `RejectReason` of the fold.
+    `kind` is the last part of its `type`: an `ApiRefusal`, or the `RejectReason` of the fold.
     """
 
     status: int
--- a/heatherkeel/admin/preconditions.py
+++ b/heatherkeel/admin/preconditions.py
@@ -1,4 +1,4 @@
-"""Reads the headers that say which version an operator has seen, and which edit this is."""
+"""Parses precondition and idempotency headers."""
 
 from __future__ import annotations
 
@@ -25,18 +25,17 @@
 
 
 def parse_etag(text: str) -> int | None:
-    """Return the version of an entity tag; None if it is none of ours."""
-    found = _ETAG.fullmatch(text.strip())
-    if found is None or int(found.group(1)) > MAX_VERSION:
+    """Return the version of an entity tag; None if it is not valid."""
+    matched = _ETAG.fullmatch(text.strip())
+    if matched is None or int(matched.group(1)) > MAX_VERSION:
         return None
-    return int(found.group(1))
+    return int(matched.group(1))
 
 
 def expected_version(headers: Mapping[str, str], *, in_force: int) -> Result[int, Problem]:
     """Return the version that an edit expects; 0 if the entry must not exist.
 
-    Without any precondition an entry can be created, but not changed: the operator would undo
-    an edit that it has never seen.
+    Without a precondition an entry can be created but not changed, which prevents lost updates.
     """
     match = headers.get("if-match")
     none_match = headers.get("if-none-match")
@@ -52,7 +51,7 @@
 
 
 def idempotency_key(headers: Mapping[str, str]) -> Result[str, Problem]:
-    """Return the operator's key of this edit, or a new one."""
+    """Return the operator's idempotency key, or a new one."""
     key = headers.get("idempotency-key")
     if key is None:
         return Ok(new_record_id())
--- a/heatherkeel/admin/reasons.py
+++ b/heatherkeel/admin/reasons.py
@@ -1,4 +1,4 @@
-"""Why the API itself refused a request; what the fold refuses has a `RejectReason`."""
+"""Reasons for which the API refuses a request; the fold has its own `RejectReason`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ApiRefusal(StrEnum):
-    """Ends the `type` of a problem, and labels the counter of refusals."""
+    """The last part of a problem's `type`, and a label of the refusals counter."""
 
     BAD_HEADER = "bad_header"
     BODY_TOO_LARGE = "body_too_large"
@@ -27,4 +27,4 @@
     TOO_LARGE = "too_large"
     OVERLOADED = "overloaded"
     BY_FOLD = "by_fold"
-    """The fold refused the edit; `heatherkeel_rejected_records_total` says why."""
+    """The fold refused the edit; `heatherkeel_rejected_records_total` has the reason."""
--- a/heatherkeel/admin/routes.py
+++ b/heatherkeel/admin/routes.py
@@ -1,4 +1,4 @@
-"""The registry of the API's routes, which decorators fill."""
+"""Registry of the API's routes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """One method of one path."""
+    """The handler of one method of a path, and the access it requires."""
 
     handler: Handler
     access: Access
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Match:
-    """The routes of a path by method, and the values of its parameters."""
+    """The routes of a path, by method, and its path parameters."""
 
     routes: dict[str, Route]
     params: dict[str, str]
@@ -33,7 +33,7 @@
 
 
 def route(method: str, path: str, *, access: Access) -> Callable[[Handler], Handler]:
-    """Register a handler; a part of the path in braces is a parameter."""
+    """Register a handler; a path segment in braces is a parameter."""
 
     def register(handler: Handler) -> Handler:
         routes = ROUTES.setdefault(path, {})
@@ -46,16 +46,16 @@
 
 
 def find_routes(path: str) -> Match | None:
-    """Return what is registered for a path as it was requested."""
+    """Return the routes that match a requested path."""
     parts = path.split("/")
     for pattern, routes in ROUTES.items():
-        params = _match(pattern.split("/"), parts)
+        params = _match_path(pattern.split("/"), parts)
         if params is not None:
             return Match(routes=routes, params=params)
     return None
 
 
-def _match(pattern: list[str], parts: list[str]) -> dict[str, str] | None:
+def _match_path(pattern: list[str], parts: list[str]) -> dict[str, str] | None:
     if len(pattern) != len(parts):
         return None
     params: dict[str, str] = {}
--- a/heatherkeel/admin/showing.py
+++ b/heatherkeel/admin/showing.py
@@ -1,4 +1,4 @@
-"""Writes the list of entries and the status as lines for an operator."""
+"""Formats the list of entries and the status for the command line."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def list_lines(value: Any) -> list[str]:
-    """Return a line for each entry."""
+    """Format the list of entries as a table."""
     listed = msgspec.convert(value, EntryList)
     rows: list[tuple[str, ...]] = [("NAME", "KIND", "OWNER", "CLASS", "VERSION")]
     for item in listed.entries:
@@ -22,13 +22,13 @@
 
 
 def status_lines(value: Any) -> list[str]:
-    """Return the status: this entry instance, all of them, the pools, and what is in progress."""
+    """Format the status: entry instances, pools, waves and drains."""
     status = msgspec.convert(value, Status)
-    heard = status.platform.heard_age_ms / 1000
+    answer_age_s = status.platform.heard_age_ms / 1000
     reached = "reachable" if status.platform.reachable else "NOT REACHABLE"
     lines = [
         f"{status.instance} in {status.zone}: offset {status.offset_in_force} in force, "
-        f"platform {reached}, heard {heard:.1f} s ago",
+        f"platform {reached}, heard {answer_age_s:.1f} s ago",
         "",
         *_table(_entry_rows(status)),
         "",
--- a/heatherkeel/admin/status.py
+++ b/heatherkeel/admin/status.py
@@ -1,7 +1,4 @@
-"""Handler of `/status`: what is in force here and at every entry instance.
-
-Of waves and drains it gives a summary; `/maintenance` explains each.
-"""
+"""Handler of `/status`: a summary of the fleet; `/maintenance` has the details of waves."""
 
 from __future__ import annotations
 
@@ -19,11 +16,11 @@
 from .routes import route
 
 NO_POOL = "(spare)"
-"""Stands for the pool of instances that belong to none."""
+"""Shown as the pool of instances that belong to none."""
 
 
 class EntryInstanceStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """What an entry instance reported with its last renewal; ages in log milliseconds."""
+    """What an entry instance reported when it last renewed its lease; ages in log milliseconds."""
 
     zone: str
     offset_in_force: int
@@ -32,9 +29,9 @@
 
 
 class PlatformStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Whether this entry instance hears the platform, and how old its configuration may be.
+    """Whether the platform is reachable, and how old the configuration may be.
 
-    `heard_age_ms` counts from the last answer of the log; -1 before the first one.
+    `heard_age_ms` is the time since the log last answered; -1 before the first answer.
     """
 
     reachable: bool
@@ -42,7 +39,7 @@
 
 
 class DrainSummary(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A planned stop or move under way; `waiting_for` are entry instances yet to acknowledge."""
+    """A drain in progress; `waiting_for` lists entry instances that haven't acknowledged it."""
 
     purpose: Purpose
     age_ms: int
@@ -51,9 +48,9 @@
 
 
 class WaveSummary(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A maintenance wave in progress; `halted_reason` says why it was halted.
+    """A maintenance wave in progress; `halted_reason` is why it was halted.
 
-    It stands there until the next drain, also when an edit of the entry has let the wave go on.
+    It is shown until the next drain, even if an edit of the entry has resumed the wave.
     """
 
     number: int
@@ -80,9 +77,9 @@
 
 @route("GET", "/status", access=Access.READ)
 async def async_get_status(call: Call) -> Reply:
-    """Show the status; with `digest=true` also the digest of the folded state.
+    """Return the status; with `digest=true` also the digest of the folded state.
 
-    The digest encodes the whole state, so it is made only when it is asked for.
+    The digest encodes the whole state, so it is computed only on request.
     """
     node = call.node
     fleet = node.state.fleet
--- a/tests/admin/fakes.py
+++ b/tests/admin/fakes.py
@@ -1,4 +1,4 @@
-"""The admin application over a log in memory: no port, no other process."""
+"""Runs the admin application against an in-memory log."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Response:
-    """One answer of the application."""
+    """A response of the application."""
 
     status: int
     headers: dict[str, str]
@@ -84,7 +84,7 @@
 
 @dataclass(kw_only=True)
 class Api:
-    """Calls the application as the server would."""
+    """Sends ASGI requests to the application."""
 
     app: AdminApp
     log: MemoryLog
@@ -154,7 +154,7 @@
 async def open_api(
     log: MemoryLog | None = None, *, caught_up: bool = True, bind: str = "127.0.0.1:0"
 ) -> AsyncIterator[Api]:
-    """Run a node over a log in memory, with its application."""
+    """Run a node and its admin application on an in-memory log."""
     log = log or MemoryLog()
     node = Node(settings=settings(bind=bind))
     node.writer.client = node.follower.client = log  # type: ignore[assignment]
--- a/tests/admin/test_applying.py
+++ b/tests/admin/test_applying.py
@@ -1,4 +1,4 @@
-"""Applying a file: what is sent, what is repeated, and what is believed afterwards."""
+"""Tests for applying a catalogue file."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(kw_only=True)
 class ScriptedClient:
-    """Gives the scripted answers in turn, and keeps what was asked."""
+    """Returns the scripted answers in order and records the calls."""
 
     answers: list[Answer]
     calls: list[tuple[str, str, dict[str, str]]] = field(default_factory=list)
@@ -46,7 +46,7 @@
 
 @dataclass(kw_only=True)
 class Clock:
-    """Time that moves only by sleeping."""
+    """A clock that only `sleep` advances."""
 
     now_s: float = 0.0
 
@@ -82,8 +82,8 @@
 
 @pytest.mark.parametrize("first", [LOST, problem(503, "unknown"), problem(409, "in_progress")])
 def test_an_unknown_outcome_is_asked_for_again_under_one_key(first: Answer) -> None:
-    # The answer to an accepted edit got lost. The repeat under the same key is answered with the
-    # first one's outcome; a fresh key would be told that the entry exists, as if by another.
+    # The answer to an accepted edit is lost. A retry under a new key would be refused, as if
+    # someone else had created the entry.
     client = ScriptedClient(answers=[ABSENT, first, ACCEPTED])
     assert apply(client).outcome is ApplyOutcome.CREATED
     keys = [headers["idempotency-key"] for _, _, headers in client.calls[1:]]
@@ -92,8 +92,8 @@
 
 @pytest.mark.parametrize("later", [NOT_APPENDED, NO_CONNECTION])
 def test_what_may_have_been_accepted_stays_unknown(later: Answer) -> None:
-    # The first attempt may stand in the log; the next one surely does not. "Not accepted" is
-    # true of the second attempt only, and the operator would send the edit anew.
+    # The first attempt may be in the log although the retry isn't. If "not accepted" were
+    # reported, the operator would send the edit again.
     client = ScriptedClient(answers=[ABSENT, LOST, later, later, later])
     applied = apply(client)
     assert (applied.outcome, client.answers) == (ApplyOutcome.UNKNOWN, [])
--- a/tests/admin/test_catalogue_api.py
+++ b/tests/admin/test_catalogue_api.py
@@ -1,4 +1,4 @@
-"""The catalogue over HTTP: versions, owners, and errors that name the field."""
+"""Tests for the catalogue API: versions, owners and error responses."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
 
 
 def test_a_stale_edit_is_told_the_version_in_force() -> None:
-    # Two operators read version 1 and both change the entry. The slower one would undo the
-    # other's edit, so it gets 412 with the version that it has to look at first.
+    # Two operators change the entry from version 1. The second gets 412 with the version in
+    # force, since its edit would undo the first.
     async def scenario(api: Api) -> None:
         await api.call("PUT", "/catalogue/desk", POOL)
         await api.call("PUT", "/catalogue/desk", POOL | {"size": 4}, if_match='"1"')
@@ -196,8 +196,8 @@
 
 
 def test_a_body_that_stops_in_the_middle_is_given_up() -> None:
-    # The caller's machine vanished after half of its body. Its connection must not stay open
-    # for good, and nothing may be accepted.
+    # The caller disappears halfway through its body. Its connection must not stay open forever,
+    # and nothing may be accepted.
     async def async_main() -> None:
         async with open_api() as api:
             answer = await api.raw(
--- a/tests/admin/test_edits.py
+++ b/tests/admin/test_edits.py
@@ -1,4 +1,4 @@
-"""An edit whose fate is uncertain: truthful words, and never taken twice."""
+"""Tests for edits of unknown outcome: reported correctly and applied at most once."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 
 
 def test_a_repeat_under_one_key_is_taken_once() -> None:
-    # An operator repeats an edit under its key, because the first answer was lost on its way
-    # back. The repeat gets the first one's offset and version; nothing else is appended.
+    # The first answer was lost and the operator retries under the same key. The retry gets the
+    # offset and version of the first attempt, and nothing else is appended.
     async def scenario(api: Api) -> None:
         first = await api.call("PUT", "/catalogue/desk", POOL, idempotency_key="k1")
         again = await api.call(
@@ -60,9 +60,8 @@
 
 
 def test_an_edit_that_lost_its_key_to_another_is_not_called_accepted() -> None:
-    # Two operators of a team use one key for two edits, through two entry instances. The other
-    # edit is in the log already, but was not read here. The fold ignores the second record; its
-    # author must not be given the first one's "accepted".
+    # Two operators use one key for two edits, through two entry instances. The fold ignores the
+    # second record, so its author must not get the first one's "accepted".
     async def async_main() -> None:
         log = MemoryLog()
         async with open_api(log) as api:
@@ -82,8 +81,8 @@
 
 
 def test_a_log_that_refuses_has_surely_not_accepted() -> None:
-    # The platform answers with an error, so nothing was appended: "was not accepted" is true.
-    # Under the operator's own key it may be a repeat, whose first attempt may have got through.
+    # The platform answers with an error, so nothing was appended. Under the operator's own key
+    # this may be a retry, and the first attempt may have been accepted.
     async def scenario(api: Api) -> None:
         api.log.failure = PlatformFailure.REFUSED
         refused = await api.call("PUT", "/catalogue/desk", POOL)
@@ -99,9 +98,8 @@
 
 
 def test_a_silent_log_may_have_accepted_and_the_record_tells_later() -> None:
-    # Appends take effect, but no answer comes and nothing can be read back. The operator is
-    # told "may have been accepted" with the key. When the log is readable again, the record
-    # says what became of the edit, and the repeat gives its version instead of a second one.
+    # Appends take effect, but no answer arrives. The operator gets "may have been accepted" and
+    # the key; once the log is readable, a retry returns the first version instead of a second.
     async def async_main() -> None:
         log = MemoryLog(failure=PlatformFailure.UNKNOWN, lose_answers=True)
         async with open_api(log, caught_up=False) as api:
--- a/tests/admin/test_fuzz.py
+++ b/tests/admin/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever is sent to the admin port gets an answer that is no server error."""
+"""Fuzz tests: no request to the admin port causes a server error."""
 
 from __future__ import annotations
 
@@ -124,7 +124,7 @@
         trio.run(async_main)
 
     check()
-    # A fuzz that only ever meets the first check of a request would prove little.
+    # Guards against inputs that never get past the first check.
     assert {200, 400, 401, 404, 405, 409, 412, 415, 422, 428} <= set(seen), seen
 
 
