--- a/tests/admin/fakes.py
+++ b/tests/admin/fakes.py
@@ -30,7 +30,7 @@
 
 @dataclass(kw_only=True)
 class MemoryLog:
-    """Takes the place of the platform's client; `failure` is what every append then gives.
+    """In-memory replacement for the platform's client; if set, `failure` fails every append.
 
     With `lose_answers` an append takes effect before it fails.
     """
--- a/tests/admin/test_applying.py
+++ b/tests/admin/test_applying.py
@@ -65,7 +65,7 @@
     return applier.apply("desk", wanted)
 
 
-def test_what_is_as_wanted_is_not_sent() -> None:
+def test_unchanged_entry_is_not_sent() -> None:
     full = POOL | {"service_class": "interactive"}
     client = ScriptedClient(answers=[answer(200, full, etag='"4"')])
     assert apply(client).outcome is ApplyOutcome.UNCHANGED
@@ -73,7 +73,7 @@
     assert apply(absent, None).outcome is ApplyOutcome.UNCHANGED
 
 
-def test_a_change_names_the_version_it_was_made_from() -> None:
+def test_change_sends_its_version_as_precondition() -> None:
     client = ScriptedClient(answers=[answer(200, POOL | {"size": 2}, etag='"4"'), ACCEPTED])
     applied = apply(client)
     assert (applied.outcome, applied.lines) == (ApplyOutcome.CHANGED, ("size: 2 -> 3",))
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("first", [LOST, problem(503, "unknown"), problem(409, "in_progress")])
-def test_an_unknown_outcome_is_asked_for_again_under_one_key(first: Answer) -> None:
+def test_unknown_outcome_is_retried_under_the_same_key(first: Answer) -> None:
     # The answer to an accepted edit is lost. A retry under a new key would be refused, as if
     # someone else had created the entry.
     client = ScriptedClient(answers=[ABSENT, first, ACCEPTED])
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("later", [NOT_APPENDED, NO_CONNECTION])
-def test_what_may_have_been_accepted_stays_unknown(later: Answer) -> None:
+def test_possibly_accepted_edit_stays_unknown(later: Answer) -> None:
     # The first attempt may be in the log although the retry isn't. If "not accepted" were
     # reported, the operator would send the edit again.
     client = ScriptedClient(answers=[ABSENT, LOST, later, later, later])
@@ -103,12 +103,12 @@
 
 
 @pytest.mark.parametrize("first", [NOT_APPENDED, NO_CONNECTION])
-def test_what_surely_was_not_accepted_is_said_at_once(first: Answer) -> None:
+def test_edit_that_was_not_accepted_is_reported_at_once(first: Answer) -> None:
     client = ScriptedClient(answers=[ABSENT, first])
     assert apply(client).outcome is ApplyOutcome.NOT_ACCEPTED
 
 
-def test_differences_are_told_by_field() -> None:
+def test_differences_are_listed_by_field() -> None:
     before = {"budget": {"min_serving": 1, "reserve": "rack"}, "pool": "desk"}
     after = {"budget": {"min_serving": 2, "reserve": "rack"}, "owner": "sheetal"}
     assert list(diff_lines(before, after)) == [
--- a/tests/admin/test_catalogue_api.py
+++ b/tests/admin/test_catalogue_api.py
@@ -46,7 +46,7 @@
     run(scenario)
 
 
-def test_a_stale_edit_is_told_the_version_in_force() -> None:
+def test_stale_edit_gets_the_version_in_force() -> None:
     # Two operators change the entry from version 1. The second gets 412 with the version in
     # force, since its edit would undo the first.
     async def scenario(api: Api) -> None:
@@ -63,7 +63,7 @@
     run(scenario)
 
 
-def test_every_fault_is_named_in_one_answer() -> None:
+def test_all_faults_are_listed_in_one_response() -> None:
     async def scenario(api: Api) -> None:
         entry = STOCK | {"owner": "nobody", "budget": {"min_serving": -1}, "pol": "x"}
         refused = await api.call("PUT", "/catalogue/stock", entry | {"path_prefix": "stock"})
@@ -87,7 +87,7 @@
     run(scenario)
 
 
-def test_an_owner_edits_only_its_own_entries() -> None:
+def test_team_edits_only_its_own_entries() -> None:
     async def scenario(api: Api) -> None:
         await api.call("PUT", "/catalogue/desk", POOL)
         other = TOKENS["agency"]
@@ -118,7 +118,7 @@
     run(scenario)
 
 
-def test_reads_need_a_token_where_other_machines_can_ask() -> None:
+def test_reads_need_a_token_on_a_non_loopback_address() -> None:
     async def async_main() -> None:
         async with open_api(bind="0.0.0.0:0") as api:
             for path in ("/catalogue", "/catalogue/desk", "/records/x", "/status"):
@@ -142,7 +142,7 @@
         ({"idempotency_key": "x" * 61}, "idempotency-key: "),
     ],
 )
-def test_a_header_that_cannot_be_read_is_named(headers: dict[str, str], detail: str) -> None:
+def test_invalid_header_is_named(headers: dict[str, str], detail: str) -> None:
     async def scenario(api: Api) -> None:
         refused = await api.call("PUT", "/catalogue/desk", POOL, **headers)
         assert (refused.status, refused.json()["detail"][: len(detail)]) == (400, detail)
@@ -167,7 +167,7 @@
         (b'{"kind": "cluster"}', "entry"),
     ],
 )
-def test_a_body_that_cannot_be_read_is_explained(body: bytes, detail: str) -> None:
+def test_invalid_body_is_explained(body: bytes, detail: str) -> None:
     async def scenario(api: Api) -> None:
         refused = await api.raw("PUT", "/catalogue/desk", headers=[TOKEN_HEADER], body=body)
         assert refused.status == 422
@@ -195,7 +195,7 @@
     run(scenario)
 
 
-def test_a_body_that_stops_in_the_middle_is_given_up() -> None:
+def test_incomplete_body_times_out() -> None:
     # The caller disappears halfway through its body. Its connection must not stay open forever,
     # and nothing may be accepted.
     async def async_main() -> None:
@@ -219,7 +219,7 @@
     run(scenario)
 
 
-def test_nothing_is_guessed_before_the_log_was_read() -> None:
+def test_requests_are_refused_until_the_log_is_read() -> None:
     async def async_main() -> None:
         async with open_api(caught_up=False) as api:
             for method, path in (("GET", "/catalogue/desk"), ("PUT", "/catalogue/desk")):
@@ -241,7 +241,7 @@
     run(scenario)
 
 
-def test_status_shows_a_wave_and_whom_its_drains_wait_for() -> None:
+def test_status_shows_waves_and_pending_drains() -> None:
     async def scenario(api: Api) -> None:
         log = small_fleet()
         log.must(log.drain("a0"))
--- a/tests/admin/test_edits.py
+++ b/tests/admin/test_edits.py
@@ -29,7 +29,7 @@
     )
 
 
-def test_a_repeat_under_one_key_is_taken_once() -> None:
+def test_retry_under_the_same_key_is_applied_once() -> None:
     # The first answer was lost and the operator retries under the same key. The retry gets the
     # offset and version of the first attempt, and nothing else is appended.
     async def scenario(api: Api) -> None:
@@ -59,7 +59,7 @@
     run(scenario)
 
 
-def test_an_edit_that_lost_its_key_to_another_is_not_called_accepted() -> None:
+def test_edit_under_a_key_used_elsewhere_is_not_reported_as_accepted() -> None:
     # Two operators use one key for two edits, through two entry instances. The fold ignores the
     # second record, so its author must not get the first one's "accepted".
     async def async_main() -> None:
@@ -80,7 +80,7 @@
     trio.run(async_main)
 
 
-def test_a_log_that_refuses_has_surely_not_accepted() -> None:
+def test_failed_append_is_reported_as_not_accepted() -> None:
     # The platform answers with an error, so nothing was appended. Under the operator's own key
     # this may be a retry, and the first attempt may have been accepted.
     async def scenario(api: Api) -> None:
@@ -97,7 +97,7 @@
     run(scenario)
 
 
-def test_a_silent_log_may_have_accepted_and_the_record_tells_later() -> None:
+def test_unconfirmed_append_is_reported_as_unknown_until_read_back() -> None:
     # Appends take effect, but no answer arrives. The operator gets "may have been accepted" and
     # the key; once the log is readable, a retry returns the first version instead of a second.
     async def async_main() -> None:
@@ -128,7 +128,7 @@
     trio.run(async_main, clock=trio.testing.MockClock(autojump_threshold=0.01))
 
 
-def test_a_repeat_while_the_first_waits_is_told_to_come_back() -> None:
+def test_retry_while_the_first_attempt_waits_is_in_progress() -> None:
     async def async_main() -> None:
         log = MemoryLog(failure=PlatformFailure.UNKNOWN)
         async with open_api(log) as api, trio.open_nursery() as nursery:
