--- a/heatherkeel/admin/access.py
+++ b/heatherkeel/admin/access.py
@@ -25,7 +25,7 @@
         self.digests = {name: _digest(team.token) for name, team in teams.items()}
         self.reads_open = is_loopback(bind)
 
-    def admit(self, access: Access, authorization: str) -> Result[str, Problem]:
+    def authorize(self, access: Access, authorization: str) -> Result[str, Problem]:
         """Return the caller's team, or an empty name where no token is required."""
         team = self.find_team(authorization)
         if team:
--- a/heatherkeel/admin/app.py
+++ b/heatherkeel/admin/app.py
@@ -26,7 +26,7 @@
 from .const import RETRY_AFTER_S
 from .models import Access, Answer, Call, Problem, Reply
 from .reasons import ApiRefusal
-from .routes import Match, Route, find_routes
+from .routes import Route, RouteMatch, find_routes
 
 
 class AdminApp:
@@ -65,13 +65,13 @@
             return Err(_method_not_allowed(match))
         return await self._async_call(request, match, route)
 
-    async def _async_call(self, request: Request, match: Match, route: Route) -> Reply:
-        admitted = self.access.admit(route.access, request.headers.get("authorization", ""))
-        if isinstance(admitted, Err):
-            return Err(admitted.err_value)
+    async def _async_call(self, request: Request, match: RouteMatch, route: Route) -> Reply:
+        authorized = self.access.authorize(route.access, request.headers.get("authorization", ""))
+        if isinstance(authorized, Err):
+            return Err(authorized.err_value)
         if route.access is not Access.OPEN and not self.node.follower.caught_up.is_set():
             return Err(_not_ready())
-        call = Call(node=self.node, request=request, team=admitted.ok_value, params=match.params)
+        call = Call(node=self.node, request=request, team=authorized.ok_value, params=match.params)
         return await route.handler(call)
 
 
@@ -82,7 +82,7 @@
     return ApiRefusal(kind)
 
 
-def _method_not_allowed(match: Match) -> Problem:
+def _method_not_allowed(match: RouteMatch) -> Problem:
     allowed = sorted({*match.routes, "HEAD"} if "GET" in match.routes else match.routes)
     return Problem(
         status=405,
--- a/heatherkeel/admin/applying.py
+++ b/heatherkeel/admin/applying.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Edit:
+class PlannedEdit:
     """An edit request, retried if its outcome is unknown."""
 
     name: str
@@ -86,7 +86,7 @@
 
     def apply(self, name: str, wanted: Any) -> Applied:
         """Create, change or (for None) delete one entry."""
-        match self.client.call("GET", path_of(name)):
+        match self.client.call("GET", entry_path(name)):
             case Ok(answer) if answer.status in (200, 404):
                 edit = plan_edit(name, wanted, answer)
                 return edit if isinstance(edit, Applied) else self._send(edit)
@@ -95,7 +95,7 @@
             case Err(error):
                 return _unreachable(name, error)
 
-    def _send(self, edit: Edit) -> Applied:
+    def _send(self, edit: PlannedEdit) -> Applied:
         """Send an edit until its outcome is known or `repeat_for_s` has passed.
 
         If a response was lost, the edit may have been accepted. From then on a rejected retry
@@ -111,17 +111,19 @@
                 return outcome
             self.sleep(_pause_s(sent))
 
-    def _attempt(self, edit: Edit) -> Result[ApiAnswer, CallError]:
+    def _attempt(self, edit: PlannedEdit) -> Result[ApiAnswer, CallError]:
         headers = {"idempotency-key": edit.key, edit.precondition[0]: edit.precondition[1]}
-        return self.client.call(edit.method, path_of(edit.name), value=edit.value, headers=headers)
+        return self.client.call(
+            edit.method, entry_path(edit.name), value=edit.value, headers=headers
+        )
 
 
-def path_of(name: str) -> str:
+def entry_path(name: str) -> str:
     """Return the path of an entry; quoting keeps an invalid name from reaching another path."""
     return f"/catalogue/{quote(name, safe='')}"
 
 
-def plan_edit(name: str, wanted: Any, read: ApiAnswer) -> Edit | Applied:
+def plan_edit(name: str, wanted: Any, read: ApiAnswer) -> PlannedEdit | Applied:
     """Compare the entry in force with the wanted one and return the edit it needs, if any."""
     in_force = read.value if read.status == 200 else None
     lines = tuple(diff_lines(_with_defaults(in_force), _with_defaults(wanted)))
@@ -134,7 +136,7 @@
         planned, precondition = ApplyOutcome.CHANGED, ("if-match", read.headers.get("etag", ""))
     if wanted is None:
         planned = ApplyOutcome.DELETED
-    return Edit(
+    return PlannedEdit(
         name=name,
         method="DELETE" if wanted is None else "PUT",
         value=wanted,
@@ -179,7 +181,7 @@
 
 
 def _outcome_of_attempt(
-    edit: Edit, sent: Result[ApiAnswer, CallError], *, maybe_accepted: bool
+    edit: PlannedEdit, sent: Result[ApiAnswer, CallError], *, maybe_accepted: bool
 ) -> Applied:
     """Return the outcome of an edit after an attempt."""
     if isinstance(sent, Err):
@@ -218,7 +220,7 @@
     return str(answer.value.get("type", "")) if isinstance(answer.value, dict) else ""
 
 
-def _failed(edit: Edit, lines: list[str], *, unknown: bool) -> Applied:
+def _failed(edit: PlannedEdit, lines: list[str], *, unknown: bool) -> Applied:
     outcome = ApplyOutcome.UNKNOWN if unknown else ApplyOutcome.NOT_ACCEPTED
     if unknown:
         lines = [*lines, f"sent under Idempotency-Key {edit.key}"]
--- a/heatherkeel/admin/catalogue.py
+++ b/heatherkeel/admin/catalogue.py
@@ -79,7 +79,7 @@
 async def async_put(call: Call) -> Reply:
     """Create an entry, or replace the version named by the precondition."""
     name = call.params["name"]
-    if not is_name(name):
+    if not is_valid_name(name):
         return Err(_invalid_name())
     key = idempotency_key(call.request.headers)
     in_force = _version_in_force(call, name, key.unwrap_or(""))
@@ -101,7 +101,7 @@
 async def async_delete(call: Call) -> Reply:
     """Delete an entry at the version named by the precondition."""
     name = call.params["name"]
-    if not is_name(name):
+    if not is_valid_name(name):
         return Err(_not_found("name", "no such entry"))
     key = idempotency_key(call.request.headers)
     in_force = _version_in_force(call, name, key.unwrap_or(""))
@@ -130,7 +130,7 @@
     return Ok(Answer(value=_record_status(record, outcome)))
 
 
-def is_name(text: str) -> bool:
+def is_valid_name(text: str) -> bool:
     """Return whether the text is a valid entry name."""
     return len(text) <= MAX_NAME_CHARS and _NAME.search(text) is not None
 
--- a/heatherkeel/admin/routes.py
+++ b/heatherkeel/admin/routes.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Match:
+class RouteMatch:
     """The routes of a path, by method, and its path parameters."""
 
     routes: dict[str, Route]
@@ -45,13 +45,13 @@
     return register
 
 
-def find_routes(path: str) -> Match | None:
+def find_routes(path: str) -> RouteMatch | None:
     """Return the routes that match a requested path."""
     parts = path.split("/")
     for pattern, routes in ROUTES.items():
         params = _match_path(pattern.split("/"), parts)
         if params is not None:
-            return Match(routes=routes, params=params)
+            return RouteMatch(routes=routes, params=params)
     return None
 
 
--- a/heatherkeel/admin/status.py
+++ b/heatherkeel/admin/status.py
@@ -126,7 +126,7 @@
 
 def _waves(fleet: FleetState) -> dict[str, WaveSummary]:
     """Return the waves that are not finished, by pool."""
-    maintained = maintenance_of_pools(fleet)
+    maintenance_by_pool = maintenance_of_pools(fleet)
     return {
         pool: WaveSummary(
             number=wave.number,
@@ -134,7 +134,7 @@
             drained=wave.drained,
             returned=wave.returned,
             failed=wave.failed,
-            halted_reason=active_halt_reason(wave, maintained.get(pool)),
+            halted_reason=active_halt_reason(wave, maintenance_by_pool.get(pool)),
         )
         for pool, wave in fleet.waves.waves.items()
         if not wave.finished_ms
