--- a/heatherkeel/admin/applying.py
+++ b/heatherkeel/admin/applying.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Applied:
+class ApplyResult:
     """The outcome of one entry, with explanatory lines for the operator."""
 
     name: str
@@ -84,18 +84,18 @@
         self.sleep = sleep
         self.now_s = now_s
 
-    def apply(self, name: str, wanted: Any) -> Applied:
+    def apply(self, name: str, wanted: Any) -> ApplyResult:
         """Create, change or (for None) delete one entry."""
         match self.client.call("GET", entry_path(name)):
             case Ok(answer) if answer.status in (200, 404):
                 edit = plan_edit(name, wanted, answer)
-                return edit if isinstance(edit, Applied) else self._send(edit)
+                return edit if isinstance(edit, ApplyResult) else self._send(edit)
             case Ok(answer):
                 return _refused(name, answer)
             case Err(error):
                 return _unreachable(name, error)
 
-    def _send(self, edit: PlannedEdit) -> Applied:
+    def _send(self, edit: PlannedEdit) -> ApplyResult:
         """Send an edit until its outcome is known or `repeat_for_s` has passed.
 
         If a response was lost, the edit may have been accepted. From then on a rejected retry
@@ -123,12 +123,12 @@
     return f"/catalogue/{quote(name, safe='')}"
 
 
-def plan_edit(name: str, wanted: Any, read: ApiAnswer) -> PlannedEdit | Applied:
+def plan_edit(name: str, wanted: Any, read: ApiAnswer) -> PlannedEdit | ApplyResult:
     """Compare the entry in force with the wanted one and return the edit it needs, if any."""
     in_force = read.value if read.status == 200 else None
     lines = tuple(diff_lines(_with_defaults(in_force), _with_defaults(wanted)))
     if wanted == in_force or (in_force is not None and wanted is not None and not lines):
-        return Applied(name=name, outcome=ApplyOutcome.UNCHANGED)
+        return ApplyResult(name=name, outcome=ApplyOutcome.UNCHANGED)
     if in_force is None:
         lines = tuple(diff_lines(None, wanted))
         planned, precondition = ApplyOutcome.CREATED, ("if-none-match", "*")
@@ -182,7 +182,7 @@
 
 def _outcome_of_attempt(
     edit: PlannedEdit, sent: Result[ApiAnswer, CallError], *, maybe_accepted: bool
-) -> Applied:
+) -> ApplyResult:
     """Return the outcome of an edit after an attempt."""
     if isinstance(sent, Err):
         error = sent.err_value
@@ -190,7 +190,7 @@
         return _failed(edit, [error.detail], unknown=unknown)
     answer = sent.ok_value
     if answer.status == 200:
-        return Applied(
+        return ApplyResult(
             name=edit.name,
             outcome=edit.planned,
             version=answer.value["version"],
@@ -204,9 +204,9 @@
     return _refused(edit.name, answer)
 
 
-def _refused(name: str, answer: ApiAnswer) -> Applied:
+def _refused(name: str, answer: ApiAnswer) -> ApplyResult:
     outcome = ApplyOutcome.NOT_ACCEPTED if answer.status == 503 else ApplyOutcome.REFUSED
-    return Applied(name=name, outcome=outcome, lines=tuple(problem_lines(answer)))
+    return ApplyResult(name=name, outcome=outcome, lines=tuple(problem_lines(answer)))
 
 
 def _may_have_been_accepted(sent: Result[ApiAnswer, CallError]) -> bool:
@@ -220,15 +220,15 @@
     return str(answer.value.get("type", "")) if isinstance(answer.value, dict) else ""
 
 
-def _failed(edit: PlannedEdit, lines: list[str], *, unknown: bool) -> Applied:
+def _failed(edit: PlannedEdit, lines: list[str], *, unknown: bool) -> ApplyResult:
     outcome = ApplyOutcome.UNKNOWN if unknown else ApplyOutcome.NOT_ACCEPTED
     if unknown:
         lines = [*lines, f"sent under Idempotency-Key {edit.key}"]
-    return Applied(name=edit.name, outcome=outcome, lines=tuple(lines))
+    return ApplyResult(name=edit.name, outcome=outcome, lines=tuple(lines))
 
 
-def _unreachable(name: str, error: CallError) -> Applied:
-    return Applied(name=name, outcome=ApplyOutcome.NOT_ACCEPTED, lines=(error.detail,))
+def _unreachable(name: str, error: CallError) -> ApplyResult:
+    return ApplyResult(name=name, outcome=ApplyOutcome.NOT_ACCEPTED, lines=(error.detail,))
 
 
 def _pause_s(sent: Result[ApiAnswer, CallError]) -> float:
--- a/heatherkeel/cli/catalogue.py
+++ b/heatherkeel/cli/catalogue.py
@@ -15,7 +15,7 @@
 from .registry import command
 
 if TYPE_CHECKING:
-    from heatherkeel.admin.applying import Applied
+    from heatherkeel.admin.applying import ApplyResult
     from heatherkeel.admin.client import AdminClient, ApiAnswer
 
 LIST, GET, APPLY, STATUS = "list", "get", "apply", "status"
@@ -114,7 +114,7 @@
     return EXIT_OK
 
 
-def _print_applied(applied: Applied, *, done: bool) -> None:
+def _print_applied(applied: ApplyResult, *, done: bool) -> None:
     stream = sys.stdout if done else sys.stderr
     where = f", version {applied.version} at offset {applied.offset}" if applied.version else ""
     print(f"{applied.name}: {applied.outcome}{where}", file=stream)
--- a/tests/admin/test_applying.py
+++ b/tests/admin/test_applying.py
@@ -8,7 +8,7 @@
 import pytest
 from result import Err, Ok, Result
 
-from heatherkeel.admin.applying import Applied, Applier, ApplyOutcome, diff_lines
+from heatherkeel.admin.applying import Applier, ApplyOutcome, ApplyResult, diff_lines
 from heatherkeel.admin.client import ApiAnswer, CallError, CallFailure
 
 POOL = {"kind": "pool", "owner": "sheetal", "size": 3}
@@ -54,7 +54,7 @@
         self.now_s += duration_s
 
 
-def apply(client: ScriptedClient, wanted: Any = POOL) -> Applied:
+def apply(client: ScriptedClient, wanted: Any = POOL) -> ApplyResult:
     clock = Clock()
     applier = Applier(
         client=client,  # type: ignore[arg-type]
