--- a/heatherkeel/admin/applying.py
+++ b/heatherkeel/admin/applying.py
@@ -34,7 +34,7 @@
     UNKNOWN = "unknown"
 
 
-DONE: Final = frozenset(
+SUCCESSFUL_OUTCOMES: Final = frozenset(
     {
         ApplyOutcome.UNCHANGED,
         ApplyOutcome.CREATED,
--- a/heatherkeel/cli/catalogue.py
+++ b/heatherkeel/cli/catalogue.py
@@ -99,14 +99,14 @@
 
 
 def _apply(client: AdminClient, entries: dict[str, Any], repeat_for_s: float) -> int:
-    from heatherkeel.admin.applying import DONE, Applier, ApplyOutcome
+    from heatherkeel.admin.applying import SUCCESSFUL_OUTCOMES, Applier, ApplyOutcome
 
     applier = Applier(client=client, repeat_for_s=repeat_for_s)
     names = list(entries)
     for index, name in enumerate(names):
         applied = applier.apply(name, entries[name])
-        _print_applied(applied, done=applied.outcome in DONE)
-        if applied.outcome not in DONE:
+        _print_applied(applied, done=applied.outcome in SUCCESSFUL_OUTCOMES)
+        if applied.outcome not in SUCCESSFUL_OUTCOMES:
             # Later entries may need this one, as a service needs its pool.
             if names[index + 1 :]:
                 print(f"not sent: {', '.join(names[index + 1 :])}", file=sys.stderr)
