--- a/heatherkeel/admin/showing.py
+++ b/heatherkeel/admin/formatting.py
@@ -10,7 +10,7 @@
 from .status import Status
 
 
-def list_lines(value: Any) -> list[str]:
+def format_entries(value: Any) -> list[str]:
     """Format the list of entries as a table."""
     listed = msgspec.convert(value, EntryList)
     rows: list[tuple[str, ...]] = [("NAME", "KIND", "OWNER", "CLASS", "VERSION")]
@@ -21,7 +21,7 @@
     return _table(rows)
 
 
-def status_lines(value: Any) -> list[str]:
+def format_status(value: Any) -> list[str]:
     """Format the status: entry instances, pools, waves and drains."""
     status = msgspec.convert(value, Status)
     answer_age_s = status.platform.heard_age_ms / 1000
--- a/heatherkeel/cli/catalogue.py
+++ b/heatherkeel/cli/catalogue.py
@@ -142,10 +142,10 @@
 def _lines(action: str, answer: ApiAnswer) -> list[str]:
     import msgspec
 
-    from heatherkeel.admin.showing import list_lines, status_lines
+    from heatherkeel.admin.formatting import format_entries, format_status
 
     if action == LIST:
-        return list_lines(answer.value)
+        return format_entries(answer.value)
     if action == STATUS:
-        return status_lines(answer.value)
+        return format_status(answer.value)
     return [msgspec.json.format(msgspec.json.encode(answer.value), indent=2).decode()]
