--- a/tests/admin/test_edits.py
+++ b/tests/admin/test_edits.py
@@ -118,8 +118,8 @@
                 while node.state.fleet.next_offset < len(log.records):
                     await trio.lowlevel.checkpoint()
                 nursery.cancel_scope.cancel()
-            told = await api.call("GET", f"/records/{problem['record']}")
-            assert told.json()["accepted"] is True
+            record = await api.call("GET", f"/records/{problem['record']}")
+            assert record.json()["accepted"] is True
             again = await api.call(
                 "PUT", "/catalogue/desk", POOL, idempotency_key=problem["idempotency_key"]
             )
