--- a/heatherkeel/admin/app.py
+++ b/heatherkeel/admin/app.py
@@ -26,11 +26,11 @@
 from .const import RETRY_AFTER_S
 from .models import Access, Answer, Call, Problem, Reply
 from .reasons import ApiRefusal
-from .routes import Match, Route, find_routes
+from .routes import Route, RouteMatch, find_routes
 
 
 class AdminApp:
-    """Finds the handler of a request, lets the caller in, and sends the reply."""
+    """Routes requests, checks access and sends replies."""
 
     def __init__(
         self, *, node: Node, on_refusal: Callable[[ApiRefusal], None] = lambda refusal: None
@@ -51,50 +51,50 @@
         except ClientGoneError:
             return None
         if isinstance(reply, Err):
-            self.on_refusal(_refusal_of(reply.err_value.kind))
+            self.on_refusal(_refusal_label(reply.err_value.kind))
         return await _async_send(send, reply)
 
     async def _async_reply(self, request: Request) -> Reply:
         match = find_routes(request.path)
         if match is None:
             return Err(Problem(status=404, kind=ApiRefusal.NO_SUCH_PATH, title="No such path"))
-        # The server leaves out the body of an answer to HEAD.
+        # The ASGI server omits the body of a response to HEAD.
         method = "GET" if request.method == "HEAD" else request.method
         route = match.routes.get(method)
         if route is None:
-            return Err(_wrong_method(match))
+            return Err(_method_not_allowed(match))
         return await self._async_call(request, match, route)
 
-    async def _async_call(self, request: Request, match: Match, route: Route) -> Reply:
-        admitted = self.access.admit(route.access, request.headers.get("authorization", ""))
-        if isinstance(admitted, Err):
-            return Err(admitted.err_value)
+    async def _async_call(self, request: Request, match: RouteMatch, route: Route) -> Reply:
+        authorized = self.access.authorize(route.access, request.headers.get("authorization", ""))
+        if isinstance(authorized, Err):
+            return Err(authorized.err_value)
         if route.access is not Access.OPEN and not self.node.follower.caught_up.is_set():
             return Err(_not_ready())
-        call = Call(node=self.node, request=request, team=admitted.ok_value, params=match.params)
+        call = Call(node=self.node, request=request, team=authorized.ok_value, params=match.params)
         return await route.handler(call)
 
 
-def _refusal_of(kind: str) -> ApiRefusal:
-    """Return the label that a problem is counted under."""
+def _refusal_label(kind: str) -> ApiRefusal:
+    """Return the metric label of a problem."""
     if isinstance(kind, RejectReason) or kind not in set(ApiRefusal):
         return ApiRefusal.BY_FOLD
     return ApiRefusal(kind)
 
 
-def _wrong_method(match: Match) -> Problem:
+def _method_not_allowed(match: RouteMatch) -> Problem:
     allowed = sorted({*match.routes, "HEAD"} if "GET" in match.routes else match.routes)
     return Problem(
         status=405,
         kind=ApiRefusal.WRONG_METHOD,
-        title="The path has no such method",
+        title="Method not allowed",
         detail=f"allowed: {', '.join(allowed)}",
         headers={"allow": ", ".join(allowed)},
     )
 
 
 def _not_ready() -> Problem:
-    """Say so while the log was never read to its end: a 404 here would be a guess."""
+    """Return 503 until the log has been read to its end; until then a 404 could be wrong."""
     return Problem(
         status=503,
         kind=ApiRefusal.NOT_READY,
--- a/heatherkeel/admin/preconditions.py
+++ b/heatherkeel/admin/preconditions.py
@@ -1,4 +1,4 @@
-"""Reads the headers that say which version an operator has seen, and which edit this is."""
+"""Parses precondition and idempotency headers."""
 
 from __future__ import annotations
 
@@ -25,23 +25,24 @@
 
 
 def parse_etag(text: str) -> int | None:
-    """Return the version of an entity tag; None if it is none of ours."""
-    found = _ETAG.fullmatch(text.strip())
-    if found is None or int(found.group(1)) > MAX_VERSION:
+    """Return the version of an entity tag; None if it is not valid."""
+    matched = _ETAG.fullmatch(text.strip())
+    if matched is None or int(matched.group(1)) > MAX_VERSION:
         return None
-    return int(found.group(1))
+    return int(matched.group(1))
 
 
 def expected_version(headers: Mapping[str, str], *, in_force: int) -> Result[int, Problem]:
     """Return the version that an edit expects; 0 if the entry must not exist.
 
-    Without any precondition an entry can be created, but not changed: the operator would undo
-    an edit that it has never seen.
+    Without a precondition an entry can be created but not changed, which prevents lost updates.
     """
     match = headers.get("if-match")
     none_match = headers.get("if-none-match")
     if match is not None and none_match is not None:
-        return Err(_bad_header("if-none-match", "stands beside if-match; send one of them"))
+        return Err(
+            _bad_header("if-none-match", "sent together with if-match; send only one of them")
+        )
     if none_match is not None:
         return Ok(0) if none_match.strip() == "*" else Err(_bad_header("if-none-match", "not `*`"))
     if match is not None:
@@ -52,7 +53,7 @@
 
 
 def idempotency_key(headers: Mapping[str, str]) -> Result[str, Problem]:
-    """Return the operator's key of this edit, or a new one."""
+    """Return the operator's idempotency key, or a new one."""
     key = headers.get("idempotency-key")
     if key is None:
         return Ok(new_record_id())
@@ -65,7 +66,7 @@
     return Problem(
         status=400,
         kind=ApiRefusal.BAD_HEADER,
-        title="A header can't be read",
+        title="A header is not valid",
         detail=f"{name}: {reason}",
         faults=(FieldFault(field=name, reason=reason),),
     )
@@ -75,7 +76,7 @@
     return Problem(
         status=428,
         kind=ApiRefusal.PRECONDITION_REQUIRED,
-        title="Say which version this edit replaces",
+        title="A precondition is required",
         detail=f"if-match: missing; the version in force is {format_etag(in_force)}",
         headers={"etag": format_etag(in_force)},
         extra={"version": in_force},
--- a/heatherkeel/cli/catalogue.py
+++ b/heatherkeel/cli/catalogue.py
@@ -15,7 +15,7 @@
 from .registry import command
 
 if TYPE_CHECKING:
-    from heatherkeel.admin.applying import Applied
+    from heatherkeel.admin.applying import ApplyResult
     from heatherkeel.admin.client import AdminClient, ApiAnswer
 
 LIST, GET, APPLY, STATUS = "list", "get", "apply", "status"
@@ -99,14 +99,14 @@
 
 
 def _apply(client: AdminClient, entries: dict[str, Any], repeat_for_s: float) -> int:
-    from heatherkeel.admin.applying import DONE, Applier, ApplyOutcome
+    from heatherkeel.admin.applying import SUCCESSFUL_OUTCOMES, Applier, ApplyOutcome
 
     applier = Applier(client=client, repeat_for_s=repeat_for_s)
     names = list(entries)
     for index, name in enumerate(names):
         applied = applier.apply(name, entries[name])
-        _print_applied(applied, done=applied.outcome in DONE)
-        if applied.outcome not in DONE:
+        _print_applied(applied, done=applied.outcome in SUCCESSFUL_OUTCOMES)
+        if applied.outcome not in SUCCESSFUL_OUTCOMES:
             # Later entries may need this one, as a service needs its pool.
             if names[index + 1 :]:
                 print(f"not sent: {', '.join(names[index + 1 :])}", file=sys.stderr)
@@ -114,7 +114,7 @@
     return EXIT_OK
 
 
-def _print_applied(applied: Applied, *, done: bool) -> None:
+def _print_applied(applied: ApplyResult, *, done: bool) -> None:
     stream = sys.stdout if done else sys.stderr
     where = f", version {applied.version} at offset {applied.offset}" if applied.version else ""
     print(f"{applied.name}: {applied.outcome}{where}", file=stream)
@@ -142,10 +142,10 @@
 def _lines(action: str, answer: ApiAnswer) -> list[str]:
     import msgspec
 
-    from heatherkeel.admin.showing import list_lines, status_lines
+    from heatherkeel.admin.formatting import format_entries, format_status
 
     if action == LIST:
-        return list_lines(answer.value)
+        return format_entries(answer.value)
     if action == STATUS:
-        return status_lines(answer.value)
+        return format_status(answer.value)
     return [msgspec.json.format(msgspec.json.encode(answer.value), indent=2).decode()]
