--- a/heatherkeel/admin/app.py
+++ b/heatherkeel/admin/app.py
@@ -87,7 +87,7 @@
     return Problem(
         status=405,
         kind=ApiRefusal.WRONG_METHOD,
-        title="Method not allowed",
+        title="The path has no such method",
         detail=f"allowed: {', '.join(allowed)}",
         headers={"allow": ", ".join(allowed)},
     )
--- a/heatherkeel/admin/bodies.py
+++ b/heatherkeel/admin/bodies.py
@@ -99,7 +99,7 @@
     return Problem(
         status=415,
         kind=ApiRefusal.WRONG_CONTENT_TYPE,
-        title="The entry must be sent as JSON",
+        title="An entry is sent as JSON",
         detail=f"content-type: expected {JSON_TYPE}",
     )
 
@@ -108,7 +108,7 @@
     return Problem(
         status=408,
         kind=ApiRefusal.BODY_TOO_SLOW,
-        title="The entry was not received in time",
+        title="The entry did not come in time",
         detail=f"entry: waited {BODY_TIMEOUT_S:g} s; nothing was accepted",
         headers={"connection": "close"},
     )
--- a/heatherkeel/admin/catalogue.py
+++ b/heatherkeel/admin/catalogue.py
@@ -123,8 +123,8 @@
     outcome = fleet.outcomes.get(record)
     if outcome is None:
         detail = (
-            f"No record with this id was decided up to offset {fleet.next_offset - 1}. It may "
-            "still be in progress, or its outcome may have expired: then read the entry."
+            f"No such record was decided up to offset {fleet.next_offset - 1}. It may be on its "
+            "way still, or it is older than its lifetime: then read the entry."
         )
         return Err(_not_found("record", detail))
     return Ok(Answer(value=_record_status(record, outcome)))
--- a/heatherkeel/admin/edits.py
+++ b/heatherkeel/admin/edits.py
@@ -42,7 +42,7 @@
     RejectReason.STALE_VERSION: "Someone else changed the entry",
     RejectReason.NOT_FOUND: "No such entry",
     RejectReason.NOT_OWNER: "The entry belongs to another team",
-    RejectReason.EXPIRED: "The edit expired and was not accepted",
+    RejectReason.EXPIRED: "The edit came too late and was not accepted",
 }
 
 
@@ -178,7 +178,7 @@
     if repeated:
         detail = (
             "This attempt was not accepted: the platform's log is down. An earlier attempt "
-            f"under the same key may have been; GET /records/{record_id} returns its outcome."
+            f"under the same key may have been; GET /records/{record_id} tells."
         )
     return Problem(
         status=503,
@@ -193,7 +193,7 @@
 def _may_have_been_accepted(record_id: str, key: str) -> Problem:
     detail = (
         "The edit may have been accepted: the platform's log did not confirm it. Repeat the "
-        f"same edit with `Idempotency-Key: {key}`: it is applied at most once. "
+        f"same edit with `Idempotency-Key: {key}`: it is taken once at most. "
         f"GET /records/{record_id} tells what became of it."
     )
     return Problem(
@@ -218,7 +218,7 @@
 
 
 def _key_reused(record_id: str) -> Problem:
-    detail = "idempotency-key: another edit used this key; this one was not accepted"
+    detail = "idempotency-key: another edit came under this key; this one was not accepted"
     return Problem(
         status=422,
         kind=ApiRefusal.IDEMPOTENCY_KEY_REUSED,
--- a/heatherkeel/admin/jobs.py
+++ b/heatherkeel/admin/jobs.py
@@ -149,7 +149,7 @@
 async def _async_read(call: Call, model: type[ModelT]) -> Result[ModelT, Problem]:
     read = await async_read_body(call.request, limit_bytes=MAX_JOBS_BODY_BYTES)
     if read is None:
-        return Err(_problem(408, ApiRefusal.BODY_TOO_SLOW, "The body was not received in time"))
+        return Err(_problem(408, ApiRefusal.BODY_TOO_SLOW, "The body did not come in time"))
     if isinstance(read, Err):
         return Err(_problem(413, ApiRefusal.BODY_TOO_LARGE, "The body is too large"))
     try:
@@ -183,14 +183,14 @@
 
 def _refused(outcome: Rejected) -> Problem:
     status = STATUS_OF_REASON.get(outcome.reason, DEFAULT_STATUS)
-    return _problem(status, outcome.reason, "The record was rejected", outcome.detail)
+    return _problem(status, outcome.reason, "The log's rules refused it", outcome.detail)
 
 
 def _not_written(failure: WriteFailure) -> Problem:
     if failure is WriteFailure.TOO_LARGE:
         return _problem(413, failure, "The record is too large")
     detail = (
-        "It may have been accepted: send the same request again, it is applied at most once."
+        "It may have been accepted: send the same again, it is taken once at most."
         if failure is WriteFailure.UNKNOWN
         else "It was not accepted, and will not be later."
     )
--- a/heatherkeel/admin/preconditions.py
+++ b/heatherkeel/admin/preconditions.py
@@ -40,9 +40,7 @@
     match = headers.get("if-match")
     none_match = headers.get("if-none-match")
     if match is not None and none_match is not None:
-        return Err(
-            _bad_header("if-none-match", "sent together with if-match; send only one of them")
-        )
+        return Err(_bad_header("if-none-match", "stands beside if-match; send one of them"))
     if none_match is not None:
         return Ok(0) if none_match.strip() == "*" else Err(_bad_header("if-none-match", "not `*`"))
     if match is not None:
@@ -66,7 +64,7 @@
     return Problem(
         status=400,
         kind=ApiRefusal.BAD_HEADER,
-        title="A header is not valid",
+        title="A header can't be read",
         detail=f"{name}: {reason}",
         faults=(FieldFault(field=name, reason=reason),),
     )
@@ -76,7 +74,7 @@
     return Problem(
         status=428,
         kind=ApiRefusal.PRECONDITION_REQUIRED,
-        title="A precondition is required",
+        title="Say which version this edit replaces",
         detail=f"if-match: missing; the version in force is {format_etag(in_force)}",
         headers={"etag": format_etag(in_force)},
         extra={"version": in_force},
