--- a/heatherkeel/dispatch/const.py
+++ b/heatherkeel/dispatch/const.py
@@ -35,18 +35,18 @@
 ESTIMATE_SLACK: Final = 0.2
 """Fraction of its remaining work by which a step may be behind and still count as in time, since
 declared durations are inaccurate."""
-LATER_BY_WORK: Final = 0.64
-"""Milliseconds by which a step is put back for each millisecond of a worker's whole processor that
-it and the steps behind it ask for, so that of jobs due at about the same time the smaller goes
-first."""
+WORK_DELAY_FACTOR: Final = 0.64
+"""Milliseconds by which a step's latest start is delayed when sorting, for each millisecond of a
+worker's whole processor that it and the steps behind it request. Of jobs due at about the same
+time, the smaller goes first."""
 BACKLOG_MS: Final = 2000
 """Work of steps in time, in milliseconds of the pool's whole processor, from which the smallest
 steps go first."""
 LAST_CHANCE_MS: Final = 600
 """How long before its job becomes worthless a late step may go first, in milliseconds."""
-RESCUE_MS: Final = 90
-"""Work of late steps that may go first at any time, in milliseconds of the pool's whole
-processor."""
+LAST_CHANCE_WORK_MS: Final = 90
+"""Maximum work of late steps that go first in their last chance, in milliseconds of the pool's
+whole processor."""
 MAX_MISFITS: Final = 40
 """Steps in a row that don't fit before a placement pass ends, which bounds the work per event."""
 QUARANTINE_FAILURES: Final = 3
@@ -122,8 +122,8 @@
 """Fraction of its target up to which a tail latency lets them speed up."""
 PACE_UP_STEP: Final = 10
 """By how much they speed up with each check, in percent."""
-PACE_LOWEST: Final = 25
-"""Pace from which the next step down is a stop, in percent."""
+PACE_STOP_THRESHOLD: Final = 25
+"""Pace at or below which the next step down stops the task, in percent."""
 MAX_ADVICE_WORKERS: Final = 30
 """Maximum number of workers named in one query to the advisor, which takes time for each."""
 ADVICE_RETRY_MS: Final = 1500
--- a/heatherkeel/dispatch/open_steps.py
+++ b/heatherkeel/dispatch/open_steps.py
@@ -13,9 +13,9 @@
     BACKLOG_MS,
     ESTIMATE_SLACK,
     LAST_CHANCE_MS,
-    LATER_BY_WORK,
+    LAST_CHANCE_WORK_MS,
     MAX_STEPS_EXAMINED,
-    RESCUE_MS,
+    WORK_DELAY_FACTOR,
 )
 from .models import Step
 
@@ -120,7 +120,7 @@
         until = (float(now_ms + LAST_CHANCE_MS), "\U0010ffff")
         found = self.late_by_last_start.irange(since, until)
         steps = [step for *_, step in islice(found, MAX_STEPS_EXAMINED)]
-        left = RESCUE_MS * self.cores
+        left = LAST_CHANCE_WORK_MS * self.cores
         rescued = []
         for step in sorted(steps, key=lambda step: (step.work, step.name())):
             is_late = find_urgency(step, now_ms) is Urgency.LATE
@@ -159,7 +159,7 @@
         if urgency >= Urgency.LATE:
             return (_critical_path_ms(step), step.latest_start_ms)
         delay_ms = (
-            LATER_BY_WORK * step.work / self.largest_worker_cores
+            WORK_DELAY_FACTOR * step.work / self.largest_worker_cores
             if self.largest_worker_cores
             else 0.0
         )
--- a/heatherkeel/dispatch/pacing.py
+++ b/heatherkeel/dispatch/pacing.py
@@ -7,7 +7,7 @@
 from .const import (
     PACE_DOWN_FRACTION,
     PACE_INTERVAL_MS,
-    PACE_LOWEST,
+    PACE_STOP_THRESHOLD,
     PACE_UP_FRACTION,
     PACE_UP_STEP,
 )
@@ -58,7 +58,7 @@
     """
     known = FULL_PACE if pace < 0 else pace
     if tail_fraction >= PACE_DOWN_FRACTION:
-        return 0 if known <= PACE_LOWEST else known // 2
+        return 0 if known <= PACE_STOP_THRESHOLD else known // 2
     if tail_fraction <= PACE_UP_FRACTION:
         return min(FULL_PACE, known + PACE_UP_STEP)
     return known
