--- a/heatherkeel/ownership/partitions.py
+++ b/heatherkeel/ownership/partitions.py
@@ -12,7 +12,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-WORKERS_A_SHARE: Final = 24
+WORKERS_PER_SHARE: Final = 24
 """Number of machines for which a service gets one more partition.
 
 Smaller shares fill unevenly, and larger ones need more processor than a small owner has.
@@ -98,7 +98,7 @@
     owned = max(1, partitions - 1)
     machines = [machine for pool in sorted(pools) for machine in pools[pool]]
     size = len(machines) / len(services)
-    count = min(owned, max(1, round(size / WORKERS_A_SHARE)))
+    count = min(owned, max(1, round(size / WORKERS_PER_SHARE)))
     first = sum(len(shares) for shares in layout.shares.values())
     shares = dict(layout.shares)
     for number, service in enumerate(missing):
--- a/tests/instance/test_service_partitions.py
+++ b/tests/instance/test_service_partitions.py
@@ -24,7 +24,7 @@
 @pytest.fixture(autouse=True)
 def _two_machines_per_partition(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """Give a pool of four machines two partitions."""
-    monkeypatch.setattr(partitions, "WORKERS_A_SHARE", 2)
+    monkeypatch.setattr(partitions, "WORKERS_PER_SHARE", 2)
     yield
 
 
--- a/tests/ownership/test_share_balance.py
+++ b/tests/ownership/test_share_balance.py
@@ -58,7 +58,7 @@
 
 def test_smaller_shares_fill_too_unevenly(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards the choice of the share's size: the fullest of smaller shares would be too late."""
-    monkeypatch.setattr(partitions, "WORKERS_A_SHARE", 12)
+    monkeypatch.setattr(partitions, "WORKERS_PER_SHARE", 12)
     worst = mean(fullest_over_mean(make_layout(), seed=seed) for seed in range(40))
     assert worst > MOST_OVER_MEAN
 
