--- a/heatherkeel/ownership/const.py
+++ b/heatherkeel/ownership/const.py
@@ -51,12 +51,12 @@
 """
 RESERVE_RECHECK_MS: Final = 500
 """Interval between checks while a change is pending, in milliseconds."""
-STEP_IN_AFTER_MS: Final = 1000
+JOIN_AFTER_MS: Final = 1000
 """Time that owners must have been missing before a small process joins, in milliseconds.
 
 Covers three checks, so that a start or a handover among larger processes doesn't count.
 """
-STAND_BACK_AFTER_MS: Final = 10_000
+LEAVE_AFTER_MS: Final = 10_000
 """Time that larger owners must have sufficed before a small one leaves, in milliseconds.
 
 Each change of owners delays the jobs of its partitions.
--- a/heatherkeel/ownership/reserve.py
+++ b/heatherkeel/ownership/reserve.py
@@ -9,12 +9,12 @@
 from heatherkeel.helpers.clock import monotonic_ms
 
 from .const import (
+    JOIN_AFTER_MS,
+    LEAVE_AFTER_MS,
     MIN_OWNER_CAPACITY,
     MIN_OWNERS,
     RESERVE_CHECK_MS,
     RESERVE_RECHECK_MS,
-    STAND_BACK_AFTER_MS,
-    STEP_IN_AFTER_MS,
 )
 from .holders import HolderCache
 from .member import ExclusionReason, GroupMember
@@ -61,7 +61,7 @@
         if self.pending_since_ms is None:
             self.pending_since_ms = now_ms
         waited_ms = now_ms - self.pending_since_ms
-        if waited_ms < (STEP_IN_AFTER_MS if is_excluded else STAND_BACK_AFTER_MS):
+        if waited_ms < (JOIN_AFTER_MS if is_excluded else LEAVE_AFTER_MS):
             return
         self.pending_since_ms = None
         _LOGGER.info(
--- a/tests/ownership/test_reserve.py
+++ b/tests/ownership/test_reserve.py
@@ -92,8 +92,8 @@
     for name in (
         "RESERVE_CHECK_MS",
         "RESERVE_RECHECK_MS",
-        "STEP_IN_AFTER_MS",
-        "STAND_BACK_AFTER_MS",
+        "JOIN_AFTER_MS",
+        "LEAVE_AFTER_MS",
     ):
         monkeypatch.setattr(reserve, name, getattr(reserve, name) // 10)
     yield
