--- a/heatherkeel/pooling/moves.py
+++ b/heatherkeel/pooling/moves.py
@@ -82,7 +82,7 @@
 
     A machine with a long-running task doesn't count: the share's owner has found it too full.
     """
-    lasting = state.views[share].load.lasting
+    long_running = state.views[share].load.lasting
     incoming = {
         intent.machine
         for intent in [*state.intents.values(), *planned]
@@ -91,7 +91,7 @@
     return any(
         _can_hold(machine, need)
         and machine.state != "down"
-        and machine.worker_id not in lasting
+        and machine.worker_id not in long_running
         and (
             machine.name in incoming
             or (
