--- a/heatherkeel/dispatch/events.py
+++ b/heatherkeel/dispatch/events.py
@@ -182,7 +182,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AcknowledgeEnds(Effect):
-    """Let a worker incarnation delete its ends up to a number, once they are stored."""
+    """Allow a worker incarnation to delete its ends up to a number, once they are stored."""
 
     worker: Worker
     number: int
--- a/heatherkeel/dispatch/workers.py
+++ b/heatherkeel/dispatch/workers.py
@@ -258,7 +258,7 @@
 
 
 def mark_runs_doubtful(state: PartitionState, worker: Worker, effects: Effects) -> None:
-    """Let tasks that allow copies start elsewhere while their worker is unresponsive."""
+    """Allow tasks that permit copies to start elsewhere while their worker is unresponsive."""
     for run in worker.runs.values():
         run.is_doubtful = True
         if run.task.is_waiting():
